--- a/crates/dispatch/tests/homes.rs
+++ b/crates/dispatch/tests/allowed_regions.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn route_and_tenant_both_bind() {
+fn regions_of_route_and_tenant_both_apply() {
     let region: Arc<str> = "region".into();
     let allowed = |of_route: &[&str], of_tenant: &[&str]| {
         Homes::of(&route(of_route), Some(&tenant(of_tenant))).allow(Some(&region))
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn a_request_is_refused_at_once_where_no_runner_is_at_home() {
+fn a_request_is_refused_at_once_without_runners_in_allowed_regions() {
     let now = Instant::now();
-    let mut holder = runner();
-    holder.copies.memory.push("cold".into());
-    let mut dispatcher = dispatcher_with(holder, now);
-    let mut away = query(now, SECOND, 8 * SECOND);
-    away.homes = Homes::of(&route(&["else"]), None);
-    let acquired = dispatcher.acquire(away, now);
-    let waited = Duration::from_millis(200);
+    let mut runner_with_copy = runner();
+    runner_with_copy.copies.memory.push("cold".into());
+    let mut dispatcher = dispatcher_with(runner_with_copy, now);
+    let mut restricted = query(now, SECOND, 8 * SECOND);
+    restricted.homes = Homes::of(&route(&["else"]), None);
+    let acquired = dispatcher.acquire(restricted, now);
+    let waiting_time = Duration::from_millis(200);
     match acquired {
         Acquired::Refused(refusal) => assert_eq!(refusal.reason, RefusalReason::NoRunner),
         Acquired::Waiting(_) => {
-            let answers = dispatcher.poll(now + waited);
+            let answers = dispatcher.poll(now + waiting_time);
             assert!(matches!(&answers[..], [(_, Err(_))]), "it waits in vain");
         }
         Acquired::Granted(_) => panic!("its runner is elsewhere"),
--- a/crates/dispatch/tests/cold.rs
+++ b/crates/dispatch/tests/cold_runners.rs
@@ -1,4 +1,4 @@
-//! Runners that bear little because they have just started.
+//! Runners that can take few requests because they have just started.
 
 mod common;
 
@@ -11,11 +11,12 @@
 use common::{SECOND, configuration, query, runner, site};
 
 const COLD_TIME: Duration = Duration::from_secs(3);
-/// What the runner bears a second, by its service.
+/// Requests a second that a cold runner can take, by its service.
 const PER_SECOND: f64 = 11.0;
-/// The most that may arrive in any second: the site's overage and tolerance added.
+/// Most requests that may arrive in any second: `PER_SECOND` with the site's overage and
+/// tolerance.
 const ALLOWED: usize = 21;
-/// Pause between two requests that each node tries to send.
+/// Time between two requests that each node tries to send.
 const STEP: Duration = Duration::from_millis(20);
 
 /// A runner that holds the model.
@@ -67,34 +68,35 @@
         .collect()
 }
 
-/// When the nodes send, if each tries again and again for `time` from `now` on.
-fn sends(fleet: &mut [Dispatcher], now: Instant, time: Duration) -> Vec<Instant> {
-    let mut sends = Vec::new();
+/// Returns the times at which the nodes send, if each tries at every `STEP` for `time`
+/// from `now` on.
+fn send_times(fleet: &mut [Dispatcher], now: Instant, time: Duration) -> Vec<Instant> {
+    let mut send_times = Vec::new();
     let mut at = now;
     while at < now + time {
         for node in &mut *fleet {
             let mut query = query(at, SECOND, 8 * SECOND);
             query.may_wait = false;
             if let Acquired::Granted(_) = node.acquire(query, at) {
-                sends.push(at);
+                send_times.push(at);
             }
         }
         at += STEP;
     }
-    sends
+    send_times
 }
 
-/// The most sends in any second.
-fn most_in_a_second(sends: &[Instant]) -> usize {
-    let from = |start: &Instant| {
+/// The most sends within any second.
+fn most_sends_in_a_second(send_times: &[Instant]) -> usize {
+    let count_from = |start: &Instant| {
         let within = |at: &&Instant| **at >= *start && **at < *start + SECOND;
-        sends.iter().filter(within).count()
+        send_times.iter().filter(within).count()
     };
-    sends.iter().map(from).max().unwrap_or(0)
+    send_times.iter().map(count_from).max().unwrap_or(0)
 }
 
 #[test]
-fn a_cold_runner_gets_what_it_bears_however_many_nodes_want_it() {
+fn requests_to_a_cold_runner_keep_the_limit_for_any_number_of_nodes() {
     for count in [6, 300] {
         let now = Instant::now();
         let mut fleet = fleet(count, now);
@@ -103,15 +105,15 @@
             runner.warming = COLD_TIME;
             node.update_runner(runner, now);
         }
-        let sends = sends(&mut fleet, now, COLD_TIME);
-        let most = most_in_a_second(&sends);
+        let send_times = send_times(&mut fleet, now, COLD_TIME);
+        let most = most_sends_in_a_second(&send_times);
         assert!(most <= ALLOWED, "{count} nodes: {most} in a second");
-        assert!(!sends.is_empty(), "{count} nodes leave it idle");
+        assert!(!send_times.is_empty(), "{count} nodes leave it idle");
     }
 }
 
 #[test]
-fn a_warm_runner_gets_all_again() {
+fn a_warm_runner_gets_all_requests() {
     let now = Instant::now();
     let mut fleet = fleet(6, now);
     for node in &mut fleet {
@@ -119,15 +121,15 @@
         runner.warming = COLD_TIME;
         node.update_runner(runner, now);
     }
-    let warm = now + COLD_TIME;
-    let sends = sends(&mut fleet, warm, SECOND);
-    assert!(most_in_a_second(&sends) > 10 * ALLOWED);
+    let warm_at = now + COLD_TIME;
+    let send_times = send_times(&mut fleet, warm_at, SECOND);
+    assert!(most_sends_in_a_second(&send_times) > 10 * ALLOWED);
 }
 
-/// The runners of a zone may have gone cold just before its evacuation is taken
-/// back, and say so only at their next heartbeat.
+/// The runners of a zone may have gone cold just before its evacuation ends, and show
+/// this only at their next heartbeat.
 #[test]
-fn runners_of_a_zone_that_is_taken_back_are_thought_cold() {
+fn runners_are_assumed_cold_after_an_evacuation() {
     for count in [6, 300] {
         let now = Instant::now();
         let mut fleet = fleet(count, now);
@@ -135,32 +137,32 @@
             node.update_runner(holder("runner-1", "zone"), now);
             node.set_evacuated(BTreeMap::from([("zone".into(), now)]), now);
         }
-        assert!(sends(&mut fleet, now, SECOND).is_empty());
-        let back = now + SECOND;
+        assert!(send_times(&mut fleet, now, SECOND).is_empty());
+        let evacuation_end = now + SECOND;
         for node in &mut fleet {
-            node.set_evacuated(BTreeMap::new(), back);
+            node.set_evacuated(BTreeMap::new(), evacuation_end);
         }
-        let sends = sends(&mut fleet, back, COLD_TIME);
-        let most = most_in_a_second(&sends);
+        let send_times = send_times(&mut fleet, evacuation_end, COLD_TIME);
+        let most = most_sends_in_a_second(&send_times);
         assert!(most <= ALLOWED, "{count} nodes: {most} in a second");
-        assert!(!sends.is_empty());
+        assert!(!send_times.is_empty());
     }
 }
 
 #[test]
-fn nothing_goes_to_an_evacuated_zone_and_an_attempt_on_its_way_is_told() {
+fn an_evacuated_zone_gets_nothing_and_granted_attempts_are_told() {
     let now = Instant::now();
     let mut node = dispatcher("node", &["node".into()], now);
     node.update_runner(holder("runner-1", "zone"), now);
     node.update_runner(holder("runner-2", "other"), now);
-    let mut on_their_way = Vec::new();
+    let mut granted_before = Vec::new();
     for _ in 0..20 {
         if let Acquired::Granted(grant) = node.acquire(query(now, SECOND, 8 * SECOND), now) {
-            on_their_way.push(grant);
+            granted_before.push(grant);
         }
     }
     node.set_evacuated(BTreeMap::from([("zone".into(), now)]), now);
-    for grant in &on_their_way {
+    for grant in &granted_before {
         let open = grant.open.load(std::sync::atomic::Ordering::Relaxed);
         assert_eq!(open, &*grant.runner.zone == "other");
     }
@@ -170,31 +172,32 @@
         };
         assert_eq!(&*grant.runner.zone, "other");
     }
-    // One that starts there meanwhile gets nothing either.
+    // A runner that starts in the evacuated zone meanwhile gets nothing either.
     node.update_runner(holder("runner-3", "zone"), now);
     node.remove_runner("runner-2");
     let acquired = node.acquire(query(now, SECOND, 8 * SECOND), now);
     assert!(!matches!(acquired, Acquired::Granted(_)), "{acquired:?}");
 }
 
-/// Before an evacuation has to be in force, what stands only in its zone is served
-/// there while others load it; everything else goes elsewhere at once.
+/// Before the deadline of an evacuation, models loaded only in the evacuated zone are
+/// served there while other runners load them; all other requests go elsewhere at once.
 #[test]
-fn an_evacuated_zone_serves_what_no_other_can_until_the_last_moment() {
+fn an_evacuated_zone_serves_what_no_other_can_until_the_deadline() {
     let now = Instant::now();
     let mut node = dispatcher("node", &["node".into()], now);
     node.update_runner(holder("runner-1", "zone"), now);
-    let last = now + SECOND;
-    node.set_evacuated(BTreeMap::from([("zone".into(), last)]), now);
+    let deadline = now + SECOND;
+    node.set_evacuated(BTreeMap::from([("zone".into(), deadline)]), now);
     let zone = |acquired: Acquired| match acquired {
         Acquired::Granted(grant) => Some(grant.runner.zone.to_string()),
         _ => None,
     };
-    let ask = |node: &mut Dispatcher, at| zone(node.acquire(query(at, SECOND, 8 * SECOND), at));
-    assert_eq!(ask(&mut node, now).as_deref(), Some("zone"));
+    let acquire_zone =
+        |node: &mut Dispatcher, at| zone(node.acquire(query(at, SECOND, 8 * SECOND), at));
+    assert_eq!(acquire_zone(&mut node, now).as_deref(), Some("zone"));
     node.update_runner(holder("runner-2", "other"), now);
-    assert_eq!(ask(&mut node, now).as_deref(), Some("other"));
+    assert_eq!(acquire_zone(&mut node, now).as_deref(), Some("other"));
     node.remove_runner("runner-2");
-    assert_eq!(ask(&mut node, now).as_deref(), Some("zone"));
-    assert_eq!(ask(&mut node, last), None);
+    assert_eq!(acquire_zone(&mut node, now).as_deref(), Some("zone"));
+    assert_eq!(acquire_zone(&mut node, deadline), None);
 }
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,5 +1,5 @@
 #![allow(dead_code)] // Each test file uses a part.
-//! One model service with one runner, for tests of the dispatcher.
+//! A model service with one runner, for tests of the dispatcher.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 pub const LOAD: Duration = Duration::from_secs(3);
 
-/// One service of engines and one model.
+/// A configuration with one engine service and one model.
 pub fn configuration() -> Configuration {
     let model = ModelSpec {
         weights_mb: 50.0,
@@ -44,7 +44,7 @@
     }
 }
 
-/// An empty engine.
+/// A runner of the engine service without models.
 pub fn runner() -> Runner {
     Runner {
         id: "runner-1".into(),
@@ -63,14 +63,14 @@
     }
 }
 
-/// A dispatcher that knows the engine, on whose disk the model is.
+/// A dispatcher that knows one runner, with a copy of the model on its disk.
 pub fn dispatcher(now: Instant) -> Dispatcher {
     let mut runner = runner();
     runner.copies.disk.push("cold".into());
     dispatcher_with(runner, now)
 }
 
-/// A site of one region.
+/// A site with one region.
 pub fn site() -> Site {
     Site {
         regions: BTreeMap::from([("zone".into(), "region".into())]),
@@ -94,8 +94,8 @@
     dispatcher
 }
 
-/// A request whose client expects an event within `target` and leaves after
-/// `patience` without one.
+/// A request whose client expects an event within `target` and leaves after `patience`
+/// without one.
 pub fn query(now: Instant, target: Duration, patience: Duration) -> Query {
     Query {
         service: "engine".into(),
--- a/crates/dispatch/tests/inventory.rs
+++ b/crates/dispatch/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! What a node believes of a runner's models.
+//! A node's view of the models that a runner holds.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use barleyspar_dispatch::{Acquired, Dispatcher, Inventory, Outcome};
 use common::{LOAD, SECOND, dispatcher, query, runner};
 
-fn held() -> HeldModel {
+fn held_model() -> HeldModel {
     HeldModel {
         model: "cold".into(),
         version: 1,
@@ -31,30 +31,30 @@
     matches!(acquired, Acquired::Granted(_))
 }
 
-/// Found on a scale day of a large site: a runner names a model in its entry
-/// until the model's last request has ended, and refuses all new ones.
+/// A runner names a model in its entry until the model's last request has ended, but
+/// refuses all new ones; the entry must not undo the inventory.
 #[test]
-fn a_model_on_its_way_out_gets_no_requests_whatever_the_entry_says() {
+fn a_model_that_is_unloaded_gets_no_requests_whatever_the_entry_shows() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    dispatcher.update_models(inventory(1, vec![held()], &[]), now);
+    dispatcher.update_models(inventory(1, vec![held_model()], &[]), now);
     assert!(is_granted(&mut dispatcher, now));
     dispatcher.update_models(inventory(2, Vec::new(), &["cold"]), now);
     let later = now + 4 * SECOND;
     let mut entry = runner();
     entry.heartbeat = 9;
-    entry.models = vec![held()];
+    entry.models = vec![held_model()];
     dispatcher.update_runner(entry, later);
     assert!(!is_granted(&mut dispatcher, later));
-    dispatcher.update_models(inventory(3, vec![held()], &[]), later);
+    dispatcher.update_models(inventory(3, vec![held_model()], &[]), later);
     assert!(is_granted(&mut dispatcher, later));
 }
 
 #[test]
-fn a_runner_with_room_that_refuses_a_model_gets_no_more_for_it_for_a_moment() {
+fn a_runner_with_room_that_refuses_a_model_gets_no_requests_for_it_for_a_while() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    dispatcher.update_models(inventory(1, vec![held()], &[]), now);
+    dispatcher.update_models(inventory(1, vec![held_model()], &[]), now);
     let Acquired::Granted(grant) = dispatcher.acquire(query(now, LOAD, 8 * SECOND), now) else {
         panic!("the runner holds the model");
     };
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn a_runner_whose_address_another_one_has_is_left_alone_and_reported() {
+fn a_runner_replaced_at_its_address_gets_no_requests_and_is_reported() {
     let now = Instant::now();
     let mut dispatcher = dispatcher(now);
-    dispatcher.update_models(inventory(1, vec![held()], &[]), now);
+    dispatcher.update_models(inventory(1, vec![held_model()], &[]), now);
     let Acquired::Granted(grant) = dispatcher.acquire(query(now, LOAD, 8 * SECOND), now) else {
         panic!("the runner holds the model");
     };
     dispatcher.finish(grant.permit, Outcome::Replaced, now);
     assert_eq!(dispatcher.unreachable(now).len(), 1);
-    // Found on a scale day: with no other holder it was asked 265 times more.
+    // Without the mark, a runner that is the only holder gets every further request.
     assert!(!is_granted(&mut dispatcher, now + 30 * SECOND));
 }
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Rate-limited runners: who calls them, when, and what waits for them.
+//! Rate-limited runners: which node may call them when, and how long requests wait for
+//! them.
 
 mod common;
 
@@ -28,29 +29,30 @@
     }
 }
 
-fn word(per_second: Option<f64>, at: Instant) -> AdvertisedLimit {
+fn advertised(per_second: Option<f64>, at: Instant) -> AdvertisedLimit {
     let limit = per_second.map(|rate| RunnerLimit::new(rate).expect("it is a rate"));
     AdvertisedLimit { limit, at }
 }
 
-/// A dispatcher of runners that hold the model, of which the first names a limit of one.
-fn limited(ids: &[&str], now: Instant) -> Dispatcher {
+/// A dispatcher with runners that hold the model; the first advertises one request a
+/// second.
+fn dispatcher_with_limited_runner(ids: &[&str], now: Instant) -> Dispatcher {
     let mut dispatcher = dispatcher_with(holder(ids[0]), now);
     for id in &ids[1..] {
         dispatcher.update_runner(holder(id), now);
     }
-    let change = dispatcher.hear_limit(ids[0], word(Some(1.0), now));
+    let change = dispatcher.hear_limit(ids[0], advertised(Some(1.0), now));
     assert!(change.is_some());
     dispatcher
 }
 
-fn asked(dispatcher: &mut Dispatcher, now: Instant) -> Vec<Arc<str>> {
-    let asked = dispatcher.rate_permits_to_ask(now);
-    asked.into_iter().map(|(id, _)| id).collect()
+fn requested_permits(dispatcher: &mut Dispatcher, now: Instant) -> Vec<Arc<str>> {
+    let requested_permits = dispatcher.rate_permits_to_ask(now);
+    requested_permits.into_iter().map(|(id, _)| id).collect()
 }
 
-/// The runner that a request gets at once.
-fn granted(dispatcher: &mut Dispatcher, now: Instant) -> Option<Arc<str>> {
+/// Returns the runner that a request gets at once, if any.
+fn granted_runner(dispatcher: &mut Dispatcher, now: Instant) -> Option<Arc<str>> {
     match dispatcher.acquire(query(now, TARGET, 5 * SECOND), now) {
         Acquired::Granted(grant) => Some(grant.runner.id.clone()),
         Acquired::Waiting(ticket) => {
@@ -62,10 +64,10 @@
 }
 
 #[test]
-fn a_permit_is_asked_for_once_and_serves_one_request() {
+fn a_permit_is_requested_once_and_serves_one_request() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a"], now);
-    assert!(asked(&mut dispatcher, now).is_empty());
+    let mut dispatcher = dispatcher_with_limited_runner(&["a"], now);
+    assert!(requested_permits(&mut dispatcher, now).is_empty());
     let request = || query(now, TARGET, 5 * SECOND);
     for _ in 0..2 {
         assert!(matches!(
@@ -73,41 +75,42 @@
             Acquired::Waiting(_)
         ));
     }
-    assert_eq!(asked(&mut dispatcher, now), ["a".into()]);
-    assert!(asked(&mut dispatcher, now).is_empty());
+    assert_eq!(requested_permits(&mut dispatcher, now), ["a".into()]);
+    assert!(requested_permits(&mut dispatcher, now).is_empty());
     dispatcher.take_rate_permit("a", RatePermitAnswer::Granted, now);
     let answers = dispatcher.poll(now);
     assert_eq!(answers.len(), 1);
     assert!(answers[0].1.is_ok());
-    assert_eq!(asked(&mut dispatcher, now), ["a".into()]);
+    assert_eq!(requested_permits(&mut dispatcher, now), ["a".into()]);
 }
 
 #[test]
-fn an_owner_that_denies_a_permit_is_asked_again_when_it_said() {
+fn a_denied_permit_is_requested_again_after_the_given_time() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a"], now);
-    assert_eq!(granted(&mut dispatcher, now), None);
-    assert_eq!(asked(&mut dispatcher, now).len(), 1);
+    let mut dispatcher = dispatcher_with_limited_runner(&["a"], now);
+    assert_eq!(granted_runner(&mut dispatcher, now), None);
+    assert_eq!(requested_permits(&mut dispatcher, now).len(), 1);
     let wait = Duration::from_millis(200);
     dispatcher.take_rate_permit("a", RatePermitAnswer::Denied(wait), now);
     let waiting = dispatcher.acquire(query(now, TARGET, 5 * SECOND), now);
     assert!(matches!(waiting, Acquired::Waiting(_)));
-    assert!(asked(&mut dispatcher, now).is_empty());
+    assert!(requested_permits(&mut dispatcher, now).is_empty());
     assert_eq!(dispatcher.next_rate_permit(), Some(now + wait));
-    assert_eq!(asked(&mut dispatcher, now + wait).len(), 1);
+    assert_eq!(requested_permits(&mut dispatcher, now + wait).len(), 1);
 }
 
-/// Held until their clients left, callers waited for a permit that was known to come later.
+/// Guards against requests that wait until their clients leave, for a permit that is
+/// known to come too late.
 #[test]
 fn a_request_is_refused_at_once_when_a_permit_comes_too_late() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a"], now);
+    let mut dispatcher = dispatcher_with_limited_runner(&["a"], now);
     let waiting = dispatcher.acquire(query(now, TARGET, 5 * SECOND), now);
     assert!(matches!(waiting, Acquired::Waiting(_)));
-    assert_eq!(asked(&mut dispatcher, now).len(), 1);
-    let heard = now + TARGET / 8;
-    dispatcher.take_rate_permit("a", RatePermitAnswer::Denied(10 * SECOND), heard);
-    let (_, answer) = dispatcher.poll(heard).pop().expect("it is answered");
+    assert_eq!(requested_permits(&mut dispatcher, now).len(), 1);
+    let answered_at = now + TARGET / 8;
+    dispatcher.take_rate_permit("a", RatePermitAnswer::Denied(10 * SECOND), answered_at);
+    let (_, answer) = dispatcher.poll(answered_at).pop().expect("it is answered");
     let refusal = answer.expect_err("no runner came");
     assert_eq!(refusal.reason, RefusalReason::Limited);
     assert!(refusal.retry_after >= SECOND);
@@ -116,56 +119,56 @@
 #[test]
 fn a_rate_limited_runner_serves_only_what_no_other_can() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a", "b"], now);
-    // A permit is there, and is kept for what only that runner can take.
+    let mut dispatcher = dispatcher_with_limited_runner(&["a", "b"], now);
+    // The permit is kept for a request that only the limited runner can take.
     dispatcher.take_rate_permit("a", RatePermitAnswer::Granted, now);
     for _ in 0..8 {
-        assert_eq!(granted(&mut dispatcher, now).as_deref(), Some("b"));
+        assert_eq!(granted_runner(&mut dispatcher, now).as_deref(), Some("b"));
     }
     let now = now + SECOND;
-    // The other one is full.
-    assert_eq!(granted(&mut dispatcher, now), None);
-    assert_eq!(asked(&mut dispatcher, now).len(), 1);
+    // The other runner is full.
+    assert_eq!(granted_runner(&mut dispatcher, now), None);
+    assert_eq!(requested_permits(&mut dispatcher, now).len(), 1);
     dispatcher.take_rate_permit("a", RatePermitAnswer::Granted, now);
-    assert_eq!(granted(&mut dispatcher, now).as_deref(), Some("a"));
+    assert_eq!(granted_runner(&mut dispatcher, now).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_limit_that_was_not_heard_of_for_long_is_put_to_the_test() {
+fn a_stale_limit_is_probed() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a", "b"], now);
+    let mut dispatcher = dispatcher_with_limited_runner(&["a", "b"], now);
     let later = now + 6 * SECOND;
-    assert_eq!(granted(&mut dispatcher, later).as_deref(), Some("b"));
-    assert_eq!(asked(&mut dispatcher, later).len(), 1);
+    assert_eq!(granted_runner(&mut dispatcher, later).as_deref(), Some("b"));
+    assert_eq!(requested_permits(&mut dispatcher, later).len(), 1);
     dispatcher.take_rate_permit("a", RatePermitAnswer::Granted, later);
-    assert_eq!(granted(&mut dispatcher, later).as_deref(), Some("a"));
-    let change = dispatcher.hear_limit("a", word(None, later));
+    assert_eq!(granted_runner(&mut dispatcher, later).as_deref(), Some("a"));
+    let change = dispatcher.hear_limit("a", advertised(None, later));
     assert!(change.is_some_and(|change| change.limit.is_none()));
-    let runners = [0, 1].map(|_| granted(&mut dispatcher, later));
+    let runners = [0, 1].map(|_| granted_runner(&mut dispatcher, later));
     assert!(runners.contains(&Some("a".into())));
 }
 
-/// What nodes tell each other stays small when all runners are rate-limited.
+/// Messages between nodes stay small when all runners are rate-limited.
 #[test]
-fn others_are_told_of_the_newest_limits_only() {
+fn only_the_newest_limits_are_sent_to_other_nodes() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a"], now);
+    let mut dispatcher = dispatcher_with_limited_runner(&["a"], now);
     for number in 0..500_u64 {
         let id = format!("runner-{number}");
         dispatcher.update_runner(holder(&id), now);
         let at = now + Duration::from_millis(number);
-        dispatcher.hear_limit(&id, word(Some(1.0), at));
+        dispatcher.hear_limit(&id, advertised(Some(1.0), at));
     }
-    let news = dispatcher.limit_news(now + SECOND);
-    assert!(news.len() <= 100, "{}", news.len());
-    assert_eq!(news[0].runner, runner_key("runner-499"));
+    let updates = dispatcher.limit_news(now + SECOND);
+    assert!(updates.len() <= 100, "{}", updates.len());
+    assert_eq!(updates[0].runner, runner_key("runner-499"));
 }
 
 #[test]
-fn the_newest_word_counts_whoever_heard_it() {
+fn the_newest_advertisement_counts_whichever_node_received_it() {
     let now = Instant::now();
-    let mut dispatcher = limited(&["a"], now);
-    let news = |per_second: Option<f64>, age_ms| LimitNews {
+    let mut dispatcher = dispatcher_with_limited_runner(&["a"], now);
+    let update = |per_second: Option<f64>, age_ms| LimitNews {
         runner: runner_key("a"),
         limit: per_second.and_then(RunnerLimit::new),
         age_ms,
@@ -173,16 +176,19 @@
     let later = now + SECOND;
     assert!(
         dispatcher
-            .hear_limits(&[news(None, 1500)], later)
+            .hear_limits(&[update(None, 1500)], later)
             .is_empty()
     );
     assert_eq!(
-        dispatcher.hear_limits(&[news(Some(2.0), 500)], later).len(),
+        dispatcher
+            .hear_limits(&[update(Some(2.0), 500)], later)
+            .len(),
         1
     );
-    assert_eq!(dispatcher.hear_limits(&[news(None, 100)], later).len(), 1);
-    assert_eq!(granted(&mut dispatcher, later).as_deref(), Some("a"));
-    // Others are told of the end for a while, and of a limit as long as it lasts.
+    assert_eq!(dispatcher.hear_limits(&[update(None, 100)], later).len(), 1);
+    assert_eq!(granted_runner(&mut dispatcher, later).as_deref(), Some("a"));
+    // Other nodes are told of the end of a limit for a while, and of a limit as long as
+    // it lasts.
     assert_eq!(dispatcher.limit_news(later).len(), 1);
     assert!(dispatcher.limit_news(later + 10 * SECOND).is_empty());
 }
--- a/crates/dispatch/tests/pauses.rs
+++ b/crates/dispatch/tests/requested_pauses.rs
@@ -1,4 +1,4 @@
-//! Runners that asked this node for a pause: when they are called again.
+//! Runners that requested a pause of this node: when they get requests again.
 
 mod common;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// A dispatcher whose only runner asks for `pause`.
-fn paused(pause: Duration, now: Instant) -> Dispatcher {
+/// A dispatcher whose only runner requests `pause`.
+fn dispatcher_with_pausing_runner(pause: Duration, now: Instant) -> Dispatcher {
     let mut dispatcher = dispatcher_with(holder(), now);
     dispatcher.hear_pause(&holder().id, pause, now);
     dispatcher
@@ -45,7 +45,7 @@
 #[test]
 fn a_pause_outlasts_the_runners_entry() {
     let now = Instant::now();
-    let mut dispatcher = paused(3 * SECOND, now);
+    let mut dispatcher = dispatcher_with_pausing_runner(3 * SECOND, now);
     dispatcher.remove_runner(&holder().id);
     dispatcher.update_runner(Arc::new(holder()), now + SECOND);
     assert!(!is_granted(&mut dispatcher, now + 2 * SECOND));
@@ -55,16 +55,16 @@
 #[test]
 fn a_shorter_pause_does_not_end_a_longer_one() {
     let now = Instant::now();
-    let mut dispatcher = paused(3 * SECOND, now);
+    let mut dispatcher = dispatcher_with_pausing_runner(3 * SECOND, now);
     dispatcher.hear_pause(&holder().id, SECOND, now + SECOND);
     assert!(!is_granted(&mut dispatcher, now + 2 * SECOND));
     assert!(is_granted(&mut dispatcher, now + 3 * SECOND));
 }
 
 #[test]
-fn a_request_that_waits_for_a_pause_is_refused_as_soon_as_that_is_put_off() {
+fn a_request_that_waits_for_a_pause_is_refused_when_the_pause_is_extended() {
     let now = Instant::now();
-    let mut dispatcher = paused(TARGET / 2, now);
+    let mut dispatcher = dispatcher_with_pausing_runner(TARGET / 2, now);
     let waiting = dispatcher.acquire(query(now, TARGET, 30 * SECOND), now);
     assert!(matches!(waiting, Acquired::Waiting(_)));
     let later = now + TARGET / 4;
@@ -77,31 +77,31 @@
 }
 
 #[test]
-fn a_pause_longer_than_any_clock_counts_is_kept() {
+fn a_pause_of_the_longest_duration_is_kept() {
     let now = Instant::now();
-    let mut dispatcher = paused(Duration::MAX, now);
+    let mut dispatcher = dispatcher_with_pausing_runner(Duration::MAX, now);
     assert!(!is_granted(&mut dispatcher, now + 3600 * SECOND));
 }
 
 #[test]
-fn a_runner_gets_one_request_after_its_pause_until_it_has_taken_that() {
+fn after_its_pause_a_runner_gets_one_request_until_it_accepts_it() {
     let now = Instant::now();
-    let mut dispatcher = paused(SECOND, now);
-    let over = now + SECOND;
-    let request = || query(over, TARGET, 5 * SECOND);
+    let mut dispatcher = dispatcher_with_pausing_runner(SECOND, now);
+    let pause_end = now + SECOND;
+    let request = || query(pause_end, TARGET, 5 * SECOND);
     for outcome in [Outcome::Abandoned, Outcome::Paused] {
-        let Acquired::Granted(first) = dispatcher.acquire(request(), over) else {
+        let Acquired::Granted(first) = dispatcher.acquire(request(), pause_end) else {
             panic!("the pause is over");
         };
-        assert!(!is_granted(&mut dispatcher, over));
-        dispatcher.finish(first.permit, outcome, over);
+        assert!(!is_granted(&mut dispatcher, pause_end));
+        dispatcher.finish(first.permit, outcome, pause_end);
     }
-    let Acquired::Granted(first) = dispatcher.acquire(request(), over) else {
+    let Acquired::Granted(first) = dispatcher.acquire(request(), pause_end) else {
         panic!("nothing shows that it takes requests");
     };
-    assert!(!is_granted(&mut dispatcher, over));
+    assert!(!is_granted(&mut dispatcher, pause_end));
     let first_byte = SECOND / 10;
-    dispatcher.observe(first.permit, Outcome::PromptRead { first_byte }, over);
-    assert!(is_granted(&mut dispatcher, over));
-    assert!(is_granted(&mut dispatcher, over));
+    dispatcher.observe(first.permit, Outcome::PromptRead { first_byte }, pause_end);
+    assert!(is_granted(&mut dispatcher, pause_end));
+    assert!(is_granted(&mut dispatcher, pause_end));
 }
--- a/crates/dispatch/tests/split.rs
+++ b/crates/dispatch/tests/split.rs
@@ -1,4 +1,4 @@
-//! Parts of a route's traffic follow their weights.
+//! The traffic of a route follows the weights of its backends.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn new_backends_begin_anew() {
+fn new_backends_replace_the_old_ones() {
     let mut splitter = Splitter::default();
     splitter.pick(&route(&[("a", 1), ("b", 1)]));
     let changed = route(&[("c", 1), ("d", 1)]);
--- a/crates/dispatch/tests/waiting.rs
+++ b/crates/dispatch/tests/waiting.rs
@@ -1,4 +1,5 @@
-//! Who waits for a model that is not there, and who is told to come back.
+//! Which requests wait for a model that no runner holds, and which clients are told to
+//! retry.
 
 mod common;
 
@@ -11,8 +12,12 @@
 
 const CHAT_TARGET: Duration = Duration::from_millis(600);
 
-/// The refusal that a request gets which finds no runner, and after how long.
-fn refusal_by(mut dispatcher: Dispatcher, query: Query, now: Instant) -> (Refusal, Duration) {
+/// Returns the refusal of a request that gets no runner, and after how long it comes.
+fn refusal_by_dispatcher(
+    mut dispatcher: Dispatcher,
+    query: Query,
+    now: Instant,
+) -> (Refusal, Duration) {
     match dispatcher.acquire(query, now) {
         Acquired::Refused(refusal) => (refusal, Duration::ZERO),
         Acquired::Granted(_) => panic!("no runner holds the model"),
@@ -28,13 +33,13 @@
     }
 }
 
-/// The same where a runner has a copy of the model on its disk.
+/// Returns the same for a dispatcher whose runner has a copy of the model on its disk.
 fn refusal(query: Query, now: Instant) -> (Refusal, Duration) {
-    refusal_by(dispatcher(now), query, now)
+    refusal_by_dispatcher(dispatcher(now), query, now)
 }
 
-/// The leader says that the runner loads the model, which is there after `ready_in`.
-fn plan(dispatcher: &mut Dispatcher, ready_in: Duration, now: Instant) {
+/// Applies an inventory by which the runner loads the model within `ready_in`.
+fn order_load(dispatcher: &mut Dispatcher, ready_in: Duration, now: Instant) {
     let inventory = Inventory {
         runner: runner().id,
         sequence: 1,
@@ -49,52 +54,52 @@
 }
 
 #[test]
-fn a_request_that_would_be_late_is_told_at_once_when_to_come_back() {
+fn a_request_that_would_be_late_is_refused_at_once() {
     let now = Instant::now();
-    let (refusal, after) = refusal(query(now, CHAT_TARGET, 5 * SECOND), now);
+    let (refusal, waited) = refusal(query(now, CHAT_TARGET, 5 * SECOND), now);
     assert_eq!(refusal.reason, RefusalReason::NotLoaded);
-    assert!(after <= CHAT_TARGET / 8, "{after:?}");
+    assert!(waited <= CHAT_TARGET / 8, "{waited:?}");
     assert!(refusal.retry_after >= LOAD && refusal.retry_after <= 5 * SECOND);
 }
 
 #[test]
 fn a_request_that_can_be_in_time_waits() {
     let now = Instant::now();
-    let (_, after) = refusal(query(now, 6 * SECOND, 6 * SECOND), now);
-    assert!(after > 5 * SECOND, "{after:?}");
+    let (_, waited) = refusal(query(now, 6 * SECOND, 6 * SECOND), now);
+    assert!(waited > 5 * SECOND, "{waited:?}");
 }
 
 #[test]
-fn a_request_that_comes_back_waits() {
+fn a_request_of_a_returning_client_waits() {
     let now = Instant::now();
     let mut query = query(now, CHAT_TARGET, 5 * SECOND);
     query.returning = true;
-    let (_, after) = refusal(query, now);
-    assert!(after > 4 * SECOND, "{after:?}");
+    let (_, waited) = refusal(query, now);
+    assert!(waited > 4 * SECOND, "{waited:?}");
 }
 
-/// What has to come from the weight store, and nobody fetches, is not waited for,
-/// nor what comes only after the client has left.
+/// No request waits for a model that has to come from the weight store without an ordered
+/// load, nor for one that is loaded only after the client has left.
 #[test]
-fn nobody_is_held_in_vain() {
+fn no_request_waits_without_an_ordered_load_or_beyond_its_patience() {
     let now = Instant::now();
     for returning in [false, true] {
         let mut unplanned = query(now, 2 * SECOND, 14 * SECOND);
         unplanned.returning = returning;
         let mut late = unplanned.clone();
-        let (_, after) = refusal_by(dispatcher_with(runner(), now), unplanned, now);
-        assert!(after <= 2 * SECOND / 8, "{after:?}");
+        let (_, waited) = refusal_by_dispatcher(dispatcher_with(runner(), now), unplanned, now);
+        assert!(waited <= 2 * SECOND / 8, "{waited:?}");
         let mut dispatcher = dispatcher_with(runner(), now);
-        plan(&mut dispatcher, 20 * SECOND, now);
+        order_load(&mut dispatcher, 20 * SECOND, now);
         late.patience = Some(14 * SECOND);
-        let (_, after) = refusal_by(dispatcher, late, now);
-        assert!(after <= 2 * SECOND / 8, "{after:?}");
+        let (_, waited) = refusal_by_dispatcher(dispatcher, late, now);
+        assert!(waited <= 2 * SECOND / 8, "{waited:?}");
     }
 }
 
-/// A load that is ordered while a request is about to be refused is waited for.
+/// A request waits on if a load is ordered after it was queued and before it is refused.
 #[test]
-fn a_request_waits_for_what_was_planned_meanwhile() {
+fn a_request_waits_on_if_a_load_is_ordered_meanwhile() {
     let now = Instant::now();
     let mut dispatcher = dispatcher_with(runner(), now);
     let mut query = query(now, 2 * SECOND, 14 * SECOND);
@@ -103,20 +108,27 @@
         dispatcher.acquire(query, now),
         Acquired::Waiting(_)
     ));
-    plan(&mut dispatcher, LOAD, now);
-    let early = dispatcher.next_refusal().expect("it waits");
-    assert!(early - now <= 2 * SECOND / 8);
-    assert!(dispatcher.poll(early).is_empty(), "it is refused");
-    let last = dispatcher.next_refusal().expect("it waits on");
-    assert!(last - now > 4 * LOAD, "{:?}", last - now);
+    order_load(&mut dispatcher, LOAD, now);
+    let first_refusal = dispatcher.next_refusal().expect("it waits");
+    assert!(first_refusal - now <= 2 * SECOND / 8);
+    assert!(dispatcher.poll(first_refusal).is_empty(), "it is refused");
+    let second_refusal = dispatcher.next_refusal().expect("it waits on");
+    assert!(
+        second_refusal - now > 4 * LOAD,
+        "{:?}",
+        second_refusal - now
+    );
 }
 
 #[test]
-fn a_planned_load_tells_when_to_come_back() {
+fn an_ordered_load_decides_the_retry_time() {
     let now = Instant::now();
     let mut dispatcher = dispatcher_with(runner(), now);
-    plan(&mut dispatcher, 2 * SECOND, now);
-    let (refusal, _) = refusal_by(dispatcher, query(now, CHAT_TARGET, 2 * SECOND), now);
-    let told = refusal.retry_after;
-    assert!(told >= 2 * SECOND && told < 3 * SECOND, "{told:?}");
+    order_load(&mut dispatcher, 2 * SECOND, now);
+    let (refusal, _) = refusal_by_dispatcher(dispatcher, query(now, CHAT_TARGET, 2 * SECOND), now);
+    let retry_after = refusal.retry_after;
+    assert!(
+        retry_after >= 2 * SECOND && retry_after < 3 * SECOND,
+        "{retry_after:?}"
+    );
 }
