--- a/crates/domain/src/fence.rs
+++ b/crates/domain/src/fence.rs
@@ -1,36 +1,38 @@
-//! Fences: the numbers by which an engine tells a newer keeper from an older one.
+//! Fences: ordered numbers by which an engine distinguishes a newer keeper (the node that
+//! gives it orders) from an older one.
 //!
-//! An engine refuses every order whose fence is lower than the highest it has
-//! seen. A fence is compared field by field from the top:
+//! An engine refuses every order whose fence is lower than the highest fence that it has
+//! seen. Fences are compared field by field in this order:
 //!
-//! 1. `log_floor`: the control log position that the orders of this keeper
-//!    already obey. It only grows. A keeper that takes over reads it from the
-//!    engine and loads nothing before its own copy of the log has reached it.
-//!    Without it a keeper with an old copy could load a model whose grant was
-//!    withdrawn, with the engine's confirmation, from an earlier keeper.
-//! 2. `term`: grows with every takeover.
-//! 3. `holder`: the keeper's address, so that two takeovers at the same term
-//!    never share an epoch.
-//! 4. `sequence`: grows with every order, so that an order that arrives late or
-//!    twice can not undo a later one of the same keeper.
+//! 1. `log_floor`: the control log position up to which the orders of this keeper take
+//!    the log into account. It never decreases. A keeper that takes over reads it from the
+//!    engine and loads nothing until its own copy of the log has reached this position.
+//!    Otherwise, a keeper with an outdated copy could load a model although an earlier
+//!    keeper has revoked its grant and the engine has confirmed the revocation.
+//! 2. `term`: increases with every takeover.
+//! 3. `holder`: derived from the keeper's address, so that two takeovers with the same
+//!    term never have equal epochs.
+//! 4. `sequence`: increases with every order, so that an order that arrives late or twice
+//!    cannot undo a later order of the same keeper.
 
 use serde::{Deserialize, Serialize};
 
-/// One keeper's term of office at one runner.
+/// The period in which one keeper gives orders to one runner.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// Control log position that this keeper's orders obey.
+    /// Control log position up to which this keeper's orders take the log into account.
     pub log_floor: u64,
-    /// Number of takeovers so far.
+    /// Number of takeovers of the runner so far.
     pub term: u64,
-    /// Tie-break: unique to the node, derived from its peer address.
+    /// Number unique to the keeper's node, derived from its peer address. Orders epochs
+    /// with equal terms.
     pub holder: u64,
 }
 
 impl Epoch {
-    /// The epoch with which `holder` follows `self`.
+    /// Returns the epoch in which `holder` takes the runner over after the epoch `self`.
     pub fn successor(self, holder: u64) -> Self {
         Self {
             log_floor: self.log_floor,
@@ -39,7 +41,7 @@
         }
     }
 
-    /// The same term of office with its log floor raised to at least `position`.
+    /// Returns this epoch with its log floor raised to at least `position`.
     pub fn with_log_floor(self, position: u64) -> Self {
         Self {
             log_floor: self.log_floor.max(position),
@@ -48,13 +50,13 @@
     }
 }
 
-/// The fence of one order.
+/// The fence of one order: orders with a lower fence than the engine has seen are refused.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// The keeper's epoch.
+    /// Epoch of the keeper that gives the order.
     pub epoch: Epoch,
-    /// Number of the order within the epoch.
+    /// Number of the order within the epoch, increasing.
     pub sequence: u64,
 }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,10 +1,10 @@
-//! Domain types shared by every part of barleyspar: names, verdicts,
-//! specifications submitted by operators, runners, grants and fences.
+//! Domain types that all crates of barleyspar share: names, verdicts, specifications
+//! submitted by operators, runners, grants and fences.
 //!
-//! Types here have no behaviour beyond ordering, validation of single values
-//! and pure rules. They do no I/O.
+//! The types only order values, validate single values and compute pure functions of them.
+//! They do no I/O.
 
-mod fading;
+mod decay;
 mod fence;
 mod grant;
 mod name;
@@ -13,7 +13,7 @@
 mod spec;
 mod verdict;
 
-pub use fading::part_left;
+pub use decay::part_left;
 pub use fence::{Epoch, Fence};
 pub use grant::{Grant, Holder, HolderState};
 pub use name::{
--- a/crates/domain/src/name.rs
+++ b/crates/domain/src/name.rs
@@ -1,4 +1,5 @@
-//! Names of objects. One type per kind, so that they cannot be mixed up.
+//! Names of objects. Each kind of object has its own type, so that the compiler rejects a
+//! name of the wrong kind.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAXIMUM_NAME_LENGTH: usize = 128;
 
-/// Why a string is not a name.
+/// Reason why a string is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NameError {
     /// The string is empty.
@@ -18,12 +19,12 @@
     /// The string is longer than [`MAXIMUM_NAME_LENGTH`] bytes.
     #[error("name is longer than {MAXIMUM_NAME_LENGTH} bytes")]
     TooLong,
-    /// The string holds a character outside `a-z A-Z 0-9 . _ : -`.
+    /// The string contains this character, which is not one of `a-z A-Z 0-9 . _ : -`.
     #[error("name holds the character {0:?}; letters, digits, '.', '_', ':' and '-' are allowed")]
     Character(char),
 }
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -45,7 +46,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the validated name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,7 +55,7 @@
         impl TryFrom<String> for $name {
             type Error = NameError;
             fn try_from(text: String) -> Result<Self, NameError> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -62,7 +63,7 @@
         impl TryFrom<&str> for $name {
             type Error = NameError;
             fn try_from(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -82,22 +83,22 @@
 }
 
 names! {
-    /// A node of barleyspar.
+    /// Name of a node, that is, of one process of barleyspar.
     NodeName;
-    /// A back end: a model engine or an instance of a plain service.
+    /// Name of a runner: a model engine or an instance of a plain service.
     RunnerName;
-    /// A model.
+    /// Name of a model, as callers ask for it.
     ModelName;
-    /// An adapter of a model.
+    /// Name of an adapter, as callers ask for it in place of its base model.
     AdapterName;
-    /// A service: a group of runners that can stand in for each other.
+    /// Name of a service: a group of interchangeable runners.
     ServiceName;
-    /// A zone.
+    /// Name of a zone in which nodes and runners are placed.
     ZoneName;
-    /// A customer: the party on whose behalf a caller asks.
+    /// Name of a customer: the party on whose behalf a caller sends requests.
     CustomerName;
-    /// A policy.
+    /// Name of a policy that decides how many replicas a model has.
     PolicyName;
-    /// An operator.
+    /// Name of an operator who submits specifications.
     OperatorName;
 }
--- a/crates/domain/src/rendezvous.rs
+++ b/crates/domain/src/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Rendezvous hashing: every node picks the same member for a key without
-//! asking, and the loss of one member moves only the keys it had.
+//! Rendezvous hashing: every node chooses the same member for a key without communication,
+//! and the loss of a member reassigns only the keys of that member.
 
 use std::hash::{Hash, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Keys of the hash. All nodes must use the same ones.
+/// Keys of the hash function. All nodes must use the same keys to choose the same member.
 const HASH_KEYS: (u64, u64) = (0x6261_726c_6579, 0x7370_6172);
 
-/// Weight of `member` for `key`; the member with the highest weight is chosen.
+/// Returns the weight of `member` for `key`. The member with the highest weight is the one
+/// chosen for the key.
 pub fn rank<K: Hash + ?Sized, M: Hash + ?Sized>(key: &K, member: &M) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
     key.hash(&mut hasher);
@@ -16,7 +17,7 @@
     hasher.finish()
 }
 
-/// `members` from the highest weight for `key` to the lowest.
+/// Returns `members` sorted by their weight for `key`, highest first.
 pub fn ranked<K: Hash + ?Sized, M: Hash + Ord>(
     key: &K,
     members: impl IntoIterator<Item = M>,
--- a/crates/domain/src/runner.rs
+++ b/crates/domain/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runners: back ends as the platform's machine list gives them.
+//! Runners (back ends) as the platform's machine list describes them.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,20 @@
 
 use crate::{RunnerName, ServiceName, ZoneName};
 
-/// Tells apart successive lives of a runner at the same address.
+/// Number that distinguishes successive incarnations (restarts) of a runner at the same
+/// address.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// What a runner is.
+/// Type of a runner, which determines whether models are loaded on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunnerKind {
-    /// A model engine with an accelerator.
+    /// A model engine with an accelerator, on which models are loaded.
     Engine,
-    /// An instance of a plain HTTP service.
+    /// An instance of a plain HTTP service, on which no models are loaded.
     Plain,
 }
 
@@ -26,29 +27,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunnerState {
-    /// It may.
+    /// The runner may be given new work.
     Live,
-    /// It finishes what it has and then goes; it gets no new work.
+    /// The runner is draining: it completes its current requests, takes no new work and
+    /// then exits.
     Leaving,
 }
 
-/// One runner.
+/// One runner, as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerRecord {
-    /// Name, unique among all runners.
+    /// Name of the runner, unique among all runners.
     pub name: RunnerName,
-    /// The service it belongs to.
+    /// The service whose requests the runner handles.
     pub service: ServiceName,
-    /// Engine or plain service.
+    /// Whether the runner is a model engine or an instance of a plain service.
     pub kind: RunnerKind,
-    /// Its zone.
+    /// The zone in which the runner is placed.
     pub zone: ZoneName,
-    /// Its HTTP address.
+    /// Address on which the runner takes HTTP requests.
     pub address: SocketAddr,
-    /// Its current life.
+    /// Current incarnation of the runner.
     pub incarnation: Incarnation,
-    /// Whether it may be given new work.
+    /// Whether the runner may be given new work.
     pub state: RunnerState,
-    /// Accelerator memory in bytes; 0 for plain services.
+    /// Size of the accelerator memory, in bytes; 0 for plain services.
     pub memory_bytes: u64,
 }
--- a/crates/domain/src/spec.rs
+++ b/crates/domain/src/spec.rs
@@ -1,4 +1,5 @@
-//! Specifications submitted by operators.
+//! Specifications of services, policies, models, adapters and customers, as operators
+//! submit them.
 
 use std::fmt;
 
@@ -6,102 +7,103 @@
 
 use crate::{AdapterName, CustomerName, ModelName, PolicyName, ServiceName};
 
-/// What a service's runners are.
+/// Type of the runners of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines.
+    /// The runners are model engines.
     Model,
-    /// Plain HTTP back ends.
+    /// The runners are plain HTTP back ends.
     Plain,
 }
 
-/// A service: a group of runners.
+/// Specification of a service: a group of interchangeable runners.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Unique name of the service.
     pub name: ServiceName,
-    /// What its runners are.
+    /// Type of the service's runners.
     pub kind: ServiceKind,
-    /// Path prefixes, for plain services, of requests that may run more than
-    /// once whatever their method. `GET`, `HEAD` and `OPTIONS` always may.
+    /// For plain services: path prefixes of requests that may run more than once, whatever
+    /// their method. `GET`, `HEAD` and `OPTIONS` requests may always run more than once.
     #[serde(default)]
     pub repeatable_paths: Vec<String>,
 }
 
-/// A model.
+/// Specification of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Name.
+    /// Unique name of the model, as callers ask for it.
     pub name: ModelName,
-    /// The service whose runners may hold it.
+    /// The service on whose runners the model may be loaded.
     pub service: ServiceName,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: String,
-    /// Accelerator memory it takes, in bytes.
+    /// Accelerator memory that the loaded model occupies, in bytes.
     pub memory_bytes: u64,
-    /// The policy that governs it.
+    /// The policy that decides the number of the model's replicas.
     pub policy: PolicyName,
 }
 
-/// An adapter of a model. It is loaded beside its base and needs memory of its own.
+/// Specification of an adapter of a model. An adapter is loaded in addition to its base
+/// model and needs memory of its own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterSpec {
-    /// Name; callers ask for it in place of the model's name.
+    /// Unique name of the adapter; callers ask for it in place of the model's name.
     pub name: AdapterName,
-    /// The model it belongs to.
+    /// The base model, which must be loaded on the same runner.
     pub base: ModelName,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: String,
-    /// Accelerator memory it takes beside its base, in bytes.
+    /// Accelerator memory that the adapter occupies in addition to its base model, in bytes.
     pub memory_bytes: u64,
 }
 
-/// A policy: a program in the policy language.
+/// Specification of a policy: a program in the policy language.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySpec {
-    /// Name.
+    /// Unique name of the policy, by which models refer to it.
     pub name: PolicyName,
-    /// Source text; it must define `fn decide(context)`.
+    /// Source text of the program, which must define `fn decide(context)`.
     pub program: String,
 }
 
-/// A customer and its limits.
+/// Specification of a customer: its credential, limit and priority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpec {
-    /// Name.
+    /// Unique name of the customer.
     pub name: CustomerName,
-    /// SHA-256 of its bearer token, in lower-case hexadecimal.
+    /// SHA-256 digest of the customer's bearer token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Largest number of its requests waiting at one node.
+    /// Maximum number of the customer's requests that may wait at one node.
     pub maximum_waiting: u32,
-    /// Larger numbers go first.
+    /// Priority of the customer's requests; larger numbers are served first.
     pub priority: i32,
 }
 
-/// Kinds of objects.
+/// Kind of an object that operators submit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
-    /// A service.
+    /// A [`ServiceSpec`].
     Service,
-    /// A policy.
+    /// A [`PolicySpec`].
     Policy,
-    /// A model.
+    /// A [`ModelSpec`].
     Model,
-    /// An adapter.
+    /// An [`AdapterSpec`].
     Adapter,
-    /// A customer.
+    /// A [`CustomerSpec`].
     Customer,
 }
 
 impl ObjectKind {
-    /// All kinds, in the order in which they depend on each other.
+    /// All kinds, ordered so that objects refer only to objects of earlier kinds.
     pub const ALL: [Self; 5] = [
         Self::Service,
         Self::Policy,
@@ -110,7 +112,7 @@
         Self::Customer,
     ];
 
-    /// The kind as it stands in files and commands.
+    /// Returns the name of the kind that files and commands use.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Service => "service",
@@ -121,7 +123,7 @@
         }
     }
 
-    /// The kind named `text`, in the singular or plural.
+    /// Returns the kind with the name `text`, in singular or plural; `None` if there is none.
     pub fn parse(text: &str) -> Option<Self> {
         let plural = |kind: Self| match kind {
             Self::Policy => "policies".to_owned(),
@@ -139,12 +141,12 @@
     }
 }
 
-/// Kind and name of an object.
+/// Identifies an object among all objects.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// Kind.
+    /// Kind of the object. Objects of different kinds may have the same name.
     pub kind: ObjectKind,
-    /// Name, as text.
+    /// Name of the object, unique among objects of its kind.
     pub name: String,
 }
 
@@ -154,24 +156,24 @@
     }
 }
 
-/// An object of any kind.
+/// Specification of an object of any kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectSpec {
-    /// A service.
+    /// Specification of a service.
     Service(ServiceSpec),
-    /// A policy.
+    /// Specification of a policy.
     Policy(PolicySpec),
-    /// A model.
+    /// Specification of a model.
     Model(ModelSpec),
-    /// An adapter.
+    /// Specification of an adapter.
     Adapter(AdapterSpec),
-    /// A customer.
+    /// Specification of a customer.
     Customer(CustomerSpec),
 }
 
 impl ObjectSpec {
-    /// Kind and name of the object.
+    /// Returns the key that identifies the object.
     pub fn key(&self) -> ObjectKey {
         let (kind, name) = match self {
             Self::Service(spec) => (ObjectKind::Service, spec.name.as_str()),
@@ -186,7 +188,8 @@
         }
     }
 
-    /// Objects that this one refers to, with the field that holds each name.
+    /// Returns the objects that this object refers to, each with the name of the field that
+    /// holds the reference.
     pub fn references(&self) -> Vec<(&'static str, ObjectKey)> {
         let key = |kind, name: &str| ObjectKey {
             kind,
--- a/crates/domain/src/verdict.rs
+++ b/crates/domain/src/verdict.rs
@@ -1,25 +1,25 @@
-//! What is known about whether a request ran.
+//! Verdicts: whether a request without a complete answer ran at a runner.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request that got no complete answer may have run at a back end.
-/// Ordered by how much may have happened.
+/// Whether a request that got no complete answer may have run at a runner. Ordered from
+/// the least to the most that may have happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The request certainly did not run. The only verdict after which a
-    /// request that must not run twice may be tried again.
+    /// The request certainly did not run. Only after this verdict, a request that must not
+    /// run twice may be sent again.
     NotRun,
-    /// The request may or may not have run.
+    /// It is unknown whether the request ran.
     MayHaveRun,
     /// The request certainly ran, at least in part.
     Ran,
 }
 
 impl Verdict {
-    /// The verdict as it stands in headers and error bodies.
+    /// Returns the text of the verdict in headers and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The verdict over two attempts of one request.
+    /// Returns the verdict on a request that was sent twice, from the verdicts on the two
+    /// attempts: the one after which more may have happened.
     pub fn and(self, other: Self) -> Self {
         self.max(other)
     }
--- a/crates/domain/tests/rendezvous.rs
+++ b/crates/domain/tests/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing moves only what it must.
+//! Rendezvous hashing reassigns only the keys of a lost member, and epochs and fences are
+//! ordered so that an engine refuses orders of an outdated keeper.
 
 use barleyspar_domain::{Epoch, Fence, ranked};
 use quickcheck::{Gen, QuickCheck};
@@ -18,10 +19,10 @@
     let Some(lost) = members.first().copied() else {
         return true;
     };
-    let rest: Vec<u16> = members.iter().copied().filter(|m| *m != lost).collect();
+    let remaining: Vec<u16> = members.iter().copied().filter(|m| *m != lost).collect();
     keys.iter().all(|key| {
         let before = ranked(key, members.iter().copied())[0];
-        let after = ranked(key, rest.iter().copied()).first().copied();
+        let after = ranked(key, remaining.iter().copied()).first().copied();
         before == lost || after == Some(before)
     })
 }
@@ -39,16 +40,19 @@
         holder: 1,
     };
     let raised = keeper.with_log_floor(9);
-    let successor_of_old = keeper.successor(7);
+    let successor_without_raise = keeper.successor(7);
     assert!(
-        raised > successor_of_old,
-        "a stale takeover must be refused"
+        raised > successor_without_raise,
+        "a takeover with an outdated log position must be refused"
+    );
+    let successor_of_raised = raised.successor(7);
+    assert_eq!(
+        successor_of_raised.log_floor, 9,
+        "a successor inherits the log floor"
     );
-    let next = raised.successor(7);
-    assert_eq!(next.log_floor, 9, "a successor inherits the floor");
     assert!(
         Fence {
-            epoch: next,
+            epoch: successor_of_raised,
             sequence: 0
         } > Fence {
             epoch: raised,
