--- a/crates/callers/benches/admission.rs
+++ b/crates/callers/benches/admission.rs
@@ -1,9 +1,9 @@
-//! Processor time of a request's admission: its credential, its tenant, and its
-//! tenant's limit at the node and at the owner.
+//! Measures the processor time of a request's admission: lookup of its credential and
+//! tenant, and the tenant's quota at the node and at the limit owner.
 //!
-//! `cargo bench -p barleyspar-callers` prints a line for each number of tenants:
-//! tenants, credentials, microseconds for a request. There was no admission
-//! before; the aim is under 20 microseconds, whatever the number of tenants.
+//! `cargo bench -p barleyspar-callers` prints a line for each number of tenants: tenants,
+//! credentials, microseconds per request. The target is under 20 microseconds, whatever the
+//! number of tenants.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -70,8 +70,8 @@
 fn main() {
     let route = route();
     let bounds = AccessBounds {
-        serve: Some(Duration::from_secs(5)),
-        deny: Duration::from_secs(3),
+        maximum_serving_staleness: Some(Duration::from_secs(5)),
+        maximum_denial_staleness: Duration::from_secs(3),
     };
     for tenants in SIZES {
         let table = RouteTable::new(Arc::new(Configuration {
@@ -98,8 +98,8 @@
                 age: Some(Duration::ZERO),
             };
             let tenant = authorize(knowledge, &route, Some(&credential), &bounds)
-                .expect("it is known")
-                .expect("it has one");
+                .expect("the credential is known")
+                .expect("the route requires a tenant");
             let limit = QuotaLimit::new(&QUOTA, &BOUNDS);
             let subject = Subject::Tenant(tenant.name.clone());
             let request = QuotaRequest {
--- a/crates/callers/src/access.rs
+++ b/crates/callers/src/access.rs
@@ -1,73 +1,78 @@
-//! Whether a request may be served under the credential that it carries.
+//! Decides whether a request may be served under the credential that it carries.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use barleyspar_catalog::{Bounds, Credential, Route, RouteTable, Tenant};
 
-/// Part by which the clocks of two machines may differ in rate: crystals keep
-/// within a thousandth by far.
+/// Maximum relative difference between the clock rates of two machines. The error of
+/// crystal oscillators is far below a thousandth.
 const CLOCK_RATE_ERROR: f64 = 0.001;
-/// Largest error of the age that a node knows, from whole milliseconds at each
-/// of the six steps from the store at most.
-const ROUNDING: Duration = Duration::from_millis(6);
+/// Maximum rounding error of a node's staleness: ages are sent in whole milliseconds, over
+/// at most six hops from the store.
+const ROUNDING_ERROR: Duration = Duration::from_millis(6);
 
-/// How old a node's knowledge may be for what it decides by it.
+/// Bounds on the staleness of a node's view of the configuration, by decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccessBounds {
-    /// From this age on nothing is served under any credential; `None` where a
-    /// node that is out of touch may go on.
-    pub serve: Option<Duration>,
-    /// From this age on a credential that is not known may be a new one.
-    pub deny: Duration,
+    /// From this staleness on, no request is served under any credential; `None` if a node
+    /// that cannot reach the store may continue to serve.
+    pub maximum_serving_staleness: Option<Duration>,
+    /// From this staleness on, an unknown credential is not rejected as invalid, because it
+    /// may be a new one.
+    pub maximum_denial_staleness: Duration,
 }
 
 impl AccessBounds {
-    /// What follows from the bounds that the site promises. A credential taken
-    /// away at `t` may not serve a request sent after `t + revocation`: a node
-    /// whose knowledge was complete at `c` refuses from `c + revocation` on, less
-    /// what its age may be wrong by.
+    /// Derives the bounds from those that the site guarantees. A credential revoked at time
+    /// `t` must not be served after `t + revocation`. Therefore, a node whose view was
+    /// complete at time `c` refuses from `c + revocation` on, or earlier by the maximum
+    /// error of its staleness.
     pub fn new(bounds: &Bounds) -> Self {
-        let certain =
-            |bound: Duration| bound.saturating_sub(bound.mul_f64(CLOCK_RATE_ERROR) + ROUNDING);
+        let without_error = |bound: Duration| {
+            bound.saturating_sub(bound.mul_f64(CLOCK_RATE_ERROR) + ROUNDING_ERROR)
+        };
         Self {
-            serve: bounds.revocation.map(certain),
-            deny: certain(bounds.change_in_force),
+            maximum_serving_staleness: bounds.revocation.map(without_error),
+            maximum_denial_staleness: without_error(bounds.change_in_force),
         }
     }
 }
 
-/// A node's knowledge of the configuration.
+/// A node's local view of the configuration, with its staleness.
 #[derive(Debug, Clone, Copy)]
 pub struct Knowledge<'a> {
-    /// The routes and tenants in force.
+    /// Routes and tenants that the node applies.
     pub table: &'a RouteTable,
-    /// Time for which changes may have been missed; `None` if that is unknown.
+    /// Staleness: time for which the node may have missed changes; `None` if unknown.
     pub age: Option<Duration>,
 }
 
 impl Knowledge<'_> {
-    fn is_younger_than(&self, bound: Duration) -> bool {
+    /// Returns whether the staleness is known and below `bound`.
+    fn is_fresher_than(&self, bound: Duration) -> bool {
         self.age.is_some_and(|age| age < bound)
     }
 
-    /// Whether it is young enough to serve under credentials.
+    /// Returns whether the view is fresh enough to serve requests under credentials.
     pub fn may_serve(&self, bounds: &AccessBounds) -> bool {
-        bounds.serve.is_none_or(|bound| self.is_younger_than(bound))
+        bounds
+            .maximum_serving_staleness
+            .is_none_or(|bound| self.is_fresher_than(bound))
     }
 }
 
-/// Why a request is not served.
+/// Reason why a request is not served under its credential.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denial {
-    /// It carries no credential, or one that nobody has.
+    /// The request carries no credential, or one that belongs to no tenant.
     Unknown,
-    /// This node's knowledge is too old to tell.
+    /// The node's view of the configuration is too stale to decide.
     OldKnowledge,
 }
 
-/// The tenant under which a request on `route` with `credential` is served;
-/// `None` where the route asks for none.
+/// Returns the tenant under which a request on `route` with `credential` is served; `None`
+/// if the route does not require one.
 pub fn authorize(
     knowledge: Knowledge<'_>,
     route: &Route,
@@ -85,7 +90,7 @@
     };
     match knowledge.table.tenant_of(credential) {
         Some(tenant) => Ok(Some(tenant.clone())),
-        None if knowledge.is_younger_than(bounds.deny) => Err(Denial::Unknown),
+        None if knowledge.is_fresher_than(bounds.maximum_denial_staleness) => Err(Denial::Unknown),
         None => Err(Denial::OldKnowledge),
     }
 }
--- a/crates/callers/src/crashes.rs
+++ b/crates/callers/src/crashes.rs
@@ -1,33 +1,36 @@
-//! How many crashes of runners a request may be part of, over all nodes, before it is held
-//! to cause them.
+//! The number of runner crashes, seen by all nodes, after which a request is considered to
+//! be their cause.
 //!
-//! All requests at a runner break with it, and one of them may be the cause. A request
-//! counts once for each runner that crashed with it there, by how far it had come; what it
-//! may collect comes back slowly ([`QuotaLimit::of_crashes`]).
+//! When a runner crashes, all requests that it was processing fail, and one of them may be
+//! the cause. Each request accumulates a weight once per crashed runner, depending on its
+//! progress. The accumulated weight decays slowly ([`QuotaLimit::of_crashes`]).
 //!
 //! [`QuotaLimit::of_crashes`]: crate::QuotaLimit::of_crashes
 
-/// What a request may collect. Less than two crashes as it began to run, or four in which it
-/// only waited or had long been running.
+/// Weight that a request may accumulate without being considered a cause of crashes. It
+/// is less than that of two crashes when the request had just started, or of four crashes
+/// when it was queued or had been running for long.
 pub(crate) const TOLERATED_WEIGHT: f64 = 3.0;
-/// Seconds in which one unit of it comes back: a request that was held too long is tried
-/// again, one that still crashes its runner is held for as long once more.
-pub(crate) const FORGIVEN_IN_SECONDS: f64 = 600.0;
+/// Time in which the accumulated weight decreases by one, in seconds. A request that was
+/// wrongly quarantined is then sent again; one that crashes a runner again is quarantined
+/// for as long once more.
+pub(crate) const SECONDS_PER_FORGIVEN_UNIT: f64 = 600.0;
 
-/// How far a request had come at a runner.
+/// Progress of a request at a runner at the time of the runner's crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// A stream of which no head had come: it waited in the runner's queue, as a rule.
+    /// The request asks for a stream whose head had not arrived; usually, it was waiting in
+    /// the runner's queue.
     Queued,
-    /// The runner had begun to run it, as far as is known, and nothing of its answer's
-    /// body had come.
+    /// As far as the node knows, the runner had started the request, and nothing of the
+    /// answer's body had arrived.
     Started,
-    /// Some of its answer's body had come.
+    /// Part of the answer's body had arrived.
     Answering,
 }
 
 impl Progress {
-    /// The name in logs and metrics.
+    /// Returns the name of the progress in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Queued => "queued",
@@ -36,9 +39,10 @@
         }
     }
 
-    /// What a crash at this point counts. A request that crashes runners does so as a rule
-    /// when they begin to run it; what waited beside it, or had run for a while, goes
-    /// through several crashes with it and is to be served in the end.
+    /// Returns the weight of a crash at this progress. A request that crashes runners
+    /// usually does so as soon as they start it. Requests that were queued or had been
+    /// running for a while may be present at several crashes caused by another request and
+    /// should still be served.
     pub fn weight(self) -> u64 {
         match self {
             Self::Started => 2,
--- a/crates/callers/src/fingerprint.rs
+++ b/crates/callers/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two tries of a caller the same request.
+//! Fingerprints, which identify a request across its caller's retries.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 use barleyspar_domain::rank;
 use serde::{Deserialize, Serialize};
 
-/// Names a request by what stays the same in each of its tries: host, path and query,
-/// caller and body. The id of a try and its deadline are no part of it.
+/// Identifies a request by the parts that are the same in each retry by its caller: host,
+/// path and query, credential and body. A retry's id and deadline are not included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request for `target` (path and query) at `host`.
+    /// Returns the fingerprint of a request to `host` for `target` (path and query).
     pub fn of(host: &str, target: &str, caller: Option<&Credential>, body: &[u8]) -> Self {
         Self(rank(&(host, target, caller), body))
     }
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -1,10 +1,11 @@
-//! Who may call, and how much: credentials that a node honours only while it
-//! can show that its knowledge of them is young enough ([`authorize`]), and limits
-//! that hold over all nodes together ([`QuotaOwner`], [`QuotaLedger`]): tenants', those
-//! that rate-limited runners name, and how many crashes of runners a request may be part of
-//! ([`Progress`], [`Quarantine`]).
+//! Access control and limits that hold over all nodes together.
 //!
-//! Pure functions of what they are given: no I/O, no clock of their own.
+//! A node accepts credentials only while its view of the configuration is fresh enough
+//! ([`authorize`]). The limits ([`QuotaOwner`], [`QuotaLedger`]) are tenants' quotas, the
+//! rate limits that runners advertise, and the number of runner crashes at which a request
+//! may be present ([`Progress`], [`Quarantine`]).
+//!
+//! All functions are deterministic in their arguments: they do no I/O and read no clock.
 
 mod access;
 mod bucket;
--- a/crates/callers/src/messages.rs
+++ b/crates/callers/src/messages.rs
@@ -1,4 +1,4 @@
-//! What a node and the owner of a limit say to each other.
+//! Messages between a node and the owner of a limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 use barleyspar_catalog::RunnerLimit;
 use serde::{Deserialize, Serialize};
 
-/// Time after which a runner that nobody asked to call is forgotten.
+/// Time after the last request about a runner's limit for which its records are kept.
 pub(crate) const RUNNER_KEPT_FOR: Duration = Duration::from_secs(60);
 
-/// Whose limit over all nodes a request counts against.
+/// The party whose limit over all nodes a quota request counts against.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subject {
-    /// The callers of the tenant of this name.
+    /// All callers of the tenant with this name.
     Tenant(Arc<str>),
-    /// The runner with this id, which is rate-limited.
+    /// The runner with this incarnation id, which advertises a rate limit.
     Runner(Arc<str>),
-    /// A caller's request that was at runners that crashed.
+    /// A caller's request that was at a runner when it crashed.
     Request(Fingerprint),
 }
 
 impl Subject {
-    /// The tenant's name, the runner's id, or the request's fingerprint.
+    /// Returns the tenant's name, the runner's id, or the request's fingerprint.
     pub fn name(&self) -> Arc<str> {
         match self {
             Self::Tenant(name) | Self::Runner(name) => name.clone(),
@@ -31,43 +31,46 @@
     }
 }
 
-/// A node asks an owner for a permit to take a tenant's request, to call a runner, or to send
-/// on a request that was at a runner that crashed.
+/// A node's question to a limit owner: for a permit to accept a tenant's request, to call a
+/// runner, or to send a request again after a runner crashed under it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// The asking node's number for it.
+    /// Number of the question, unique within the asking node; the answer refers to it.
     pub number: u64,
-    /// The node that asks.
+    /// Name of the asking node.
     pub node: Arc<str>,
-    /// Whose limit it counts against.
+    /// The party against whose limit the units count.
     pub subject: Subject,
-    /// The limit that a runner named; a tenant's stands in the configuration.
+    /// Rate limit that the runner advertises; `None` for other subjects. A tenant's quota is
+    /// read from the configuration.
     pub named: Option<RunnerLimit>,
-    /// Units of the request.
+    /// Number of units that are asked for.
     pub cost: u64,
-    /// What the units are for, where they are taken once whoever asks for it: the
-    /// runner that crashed.
+    /// Key for which the units are charged only once, whichever nodes ask: the id of the
+    /// crashed runner. `None` to charge each question.
     pub once_for: Option<Arc<str>>,
-    /// Milliseconds since the node last asked another owner about this subject; a
-    /// node that has asked none within a window says nothing.
+    /// Time since the node last asked another owner about this subject, in milliseconds;
+    /// `None` if it has asked no other owner within the quota window.
     pub elsewhere_ms: Option<u32>,
 }
 
-/// The owner's answer.
+/// Answer of a limit owner to a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaAnswer {
-    /// The request may be taken.
+    /// The units are granted.
     Granted {
-        /// Units that the node may take without asking while the owner is silent.
+        /// Number of units that the node may use without asking while the owner does not
+        /// answer.
         reserve: u64,
     },
-    /// The limit is reached.
+    /// The limit is reached; nothing is charged.
     Denied {
-        /// Milliseconds until the request would be granted.
+        /// Time until the units would be granted, in milliseconds.
         wait_ms: u32,
-        /// As above.
+        /// Number of units that the node may use without asking while the owner does not
+        /// answer.
         reserve: u64,
     },
-    /// The node that was asked is not the owner, or knows no such limit.
+    /// The asked node is not the owner of this limit, or does not know the limit.
     NotOwner,
 }
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -1,11 +1,11 @@
-//! The owner of a limit: the one node that counts what all nodes take from a tenant,
-//! send a rate-limited runner, or saw crash under a request.
+//! The limit owner: the node that counts, for all nodes, the use of a tenant's quota, the
+//! calls to a rate-limited runner, or the runner crashes at which a request was present.
 //!
-//! All nodes pick the same owner from the nodes that they hear. Those that hear
-//! different ones, across a partition, pick several. One group at most is more
-//! than half of all and has the whole limit; each other one has so little that
-//! all of them together stay within the promised overage, whoever is cut off
-//! from whom.
+//! All nodes choose the owner by the same function of the nodes from which they receive
+//! messages. In a network partition, the groups of nodes may choose different owners. At
+//! most one group contains more than half of all nodes, and its owner grants the whole
+//! limit. The owners of all other groups grant so little that the total stays within the
+//! guaranteed overage, whatever the partition.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,169 +14,185 @@
 use barleyspar_domain::part_left;
 
 use crate::bucket::{QuotaLimit, TokenBucket};
-use crate::crashes::{FORGIVEN_IN_SECONDS, TOLERATED_WEIGHT};
+use crate::crashes::{SECONDS_PER_FORGIVEN_UNIT, TOLERATED_WEIGHT};
 use crate::messages::{QuotaAnswer, QuotaRequest, RUNNER_KEPT_FOR, Subject};
 
-/// Time in which what a node asked for counts half as much.
+/// Half-life of the weight of the units that a node asked for.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// Part of all asking below which a node is forgotten.
-const FORGOTTEN_PART: f64 = 1e-4;
+/// Fraction of all units asked for below which the record on a node is dropped.
+const NEGLIGIBLE_FRACTION: f64 = 1e-4;
 
-/// What a group of half of all nodes or less may grant, as a part of its part of
-/// the limit: together at most a tenth of it, beside a group that grants it whole.
-const MINORITY_PART: f64 = 0.1;
+/// Factor on the limit of a group of at most half of all nodes, in addition to the group's
+/// fraction of the nodes. All such groups together grant at most a tenth of the limit, in
+/// addition to a majority group that grants it whole.
+const MINORITY_FACTOR: f64 = 0.1;
 
-/// How many of all nodes an owner hears, itself included.
+/// The nodes that an owner can see: their number and that of all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Share {
-    /// Nodes that it hears.
+    /// Number of nodes from which the owner has recently received a message, itself included.
     pub heard: usize,
-    /// All nodes that there are.
+    /// Number of all nodes, whether or not the owner can reach them.
     pub nodes: usize,
 }
 
 impl Share {
-    /// The part of the limit that such an owner grants, 0 to 1.
+    /// Returns the fraction of the limit that the owner grants, from 0 to 1: the whole limit
+    /// if it sees more than half of all nodes.
     pub fn part(self) -> f64 {
         if self.heard * 2 > self.nodes {
             return 1.0;
         }
-        MINORITY_PART * self.heard as f64 / self.nodes.max(1) as f64
+        MINORITY_FACTOR * self.heard as f64 / self.nodes.max(1) as f64
     }
 }
 
-/// Units asked for lately, fading.
+/// Exponentially decaying sum of the units asked for.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct DecayingUnits {
+    /// Sum at `updated_at`.
     units: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
-impl Asked {
+impl DecayingUnits {
+    /// Returns the decayed sum at `now`.
     fn at(self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at);
+        let age = now.saturating_duration_since(self.updated_at);
         self.units * part_left(age, HALF_LIFE)
     }
 
     fn add(&mut self, units: f64, now: Instant) {
         self.units = self.at(now) + units;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
-/// Accounts, some 2 MB, from which on those of requests are kept for a shorter time.
+/// Number of accounts (about 2 MB) from which on accounts of requests are dropped after
+/// [`REQUEST_KEPT_AT_LEAST`].
 const MANY_ACCOUNTS: usize = 10_000;
-/// Time for which the account of a request is kept then.
+/// Time after its last use for which the account of a request is kept when there are many.
 const REQUEST_KEPT_AT_LEAST: Duration = Duration::from_secs(60);
-/// Time for which it is kept otherwise: until all that it collected has come back.
+/// Time after its last use for which the account of a request is kept otherwise: until all
+/// of its accumulated crash weight has decayed.
 const REQUEST_KEPT_FOR: Duration =
-    Duration::from_secs((TOLERATED_WEIGHT * FORGIVEN_IN_SECONDS) as u64);
+    Duration::from_secs((TOLERATED_WEIGHT * SECONDS_PER_FORGIVEN_UNIT) as u64);
 
+/// The count of one subject's use of its limit.
 #[derive(Debug)]
 struct Account {
     bucket: TokenBucket,
-    /// Units that were taken once, by what they were taken for.
-    taken_once: HashMap<Arc<str>, u64>,
-    /// Since when no other owner is known to have been asked.
-    alone_since: Instant,
-    asked: Asked,
-    nodes: HashMap<Arc<str>, Asked>,
+    /// Units that were charged once, by the key that they were charged for.
+    charged_once: HashMap<Arc<str>, u64>,
+    /// Time of the last known question of any node to another owner, or the account's start.
+    /// From then on, all use is counted in this account.
+    sole_owner_since: Instant,
+    /// Units that all nodes asked for.
+    total: DecayingUnits,
+    /// Units that each node asked for, by its name.
+    nodes: HashMap<Arc<str>, DecayingUnits>,
 }
 
 impl Account {
     fn new(bucket: TokenBucket, started: Instant) -> Self {
         Self {
             bucket,
-            taken_once: HashMap::new(),
-            alone_since: started,
-            asked: Asked {
+            charged_once: HashMap::new(),
+            sole_owner_since: started,
+            total: DecayingUnits {
                 units: 0.0,
-                at: started,
+                updated_at: started,
             },
             nodes: HashMap::new(),
         }
     }
 
     fn was_asked_within(&self, time: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.asked.at) < time
+        now.saturating_duration_since(self.total.updated_at) < time
     }
 
-    /// A node asked another owner at `at`. If that is news, what that owner granted
-    /// is not known here, and this one starts with nothing.
-    fn heard_of_other_owner(&mut self, at: Instant, now: Instant) {
-        if at > self.alone_since {
+    /// Records that a node asked another owner at `at`. Since this owner does not know what
+    /// the other one granted, its bucket is emptied, unless it was emptied after `at`.
+    fn note_other_owner(&mut self, at: Instant, now: Instant) {
+        if at > self.sole_owner_since {
             self.bucket = TokenBucket::empty(now);
-            self.alone_since = now;
+            self.sole_owner_since = now;
         }
     }
 
-    /// Takes the units of `request`, or says when that will be possible.
-    fn take(
+    /// Charges the units of `request` to the bucket. If it holds too few, charges nothing and
+    /// returns the time until it will hold enough.
+    fn try_charge(
         &mut self,
         request: &QuotaRequest,
         limit: QuotaLimit,
         now: Instant,
     ) -> Result<(), Duration> {
         let Some(once_for) = &request.once_for else {
-            return self.bucket.take(request.cost as f64, limit, now);
+            return self.bucket.try_take(request.cost as f64, limit, now);
         };
-        let taken = self.taken_once.get(once_for).copied().unwrap_or(0);
-        if request.cost > taken {
+        let charged = self.charged_once.get(once_for).copied().unwrap_or(0);
+        if request.cost > charged {
             self.bucket
-                .take((request.cost - taken) as f64, limit, now)?;
-            self.taken_once.insert(once_for.clone(), request.cost);
+                .try_take((request.cost - charged) as f64, limit, now)?;
+            self.charged_once.insert(once_for.clone(), request.cost);
         }
         Ok(())
     }
 
-    /// Counts that `node` asks for `units`; the part of all asking that is its.
+    /// Counts `units` that `node` asks for. Returns the fraction, from 0 to 1, of all recently
+    /// asked units that this node asked for.
     fn count(&mut self, node: &Arc<str>, units: f64, now: Instant) -> f64 {
-        self.asked.add(units, now);
-        let all = self.asked.at(now).max(f64::EPSILON);
-        let of_node = self.nodes.entry(node.clone()).or_insert(Asked {
+        self.total.add(units, now);
+        let total = self.total.at(now).max(f64::EPSILON);
+        let of_node = self.nodes.entry(node.clone()).or_insert(DecayingUnits {
             units: 0.0,
-            at: now,
+            updated_at: now,
         });
         of_node.add(units, now);
-        let part = of_node.at(now) / all;
+        let fraction = of_node.at(now) / total;
         self.nodes
-            .retain(|_, asked| asked.at(now) / all > FORGOTTEN_PART);
-        part.min(1.0)
+            .retain(|_, units| units.at(now) / total > NEGLIGIBLE_FRACTION);
+        fraction.min(1.0)
     }
 }
 
-/// The accounts of the limits whose owner this node is.
+/// The accounts of all limits of which this node is the owner.
 #[derive(Debug)]
 pub struct QuotaOwner {
     started: Instant,
-    /// Time for which nodes go on by their reserves when this node falls silent.
-    reserved_for: Duration,
+    /// Time within which other nodes notice that this node does not answer. A node's reserve
+    /// covers this time.
+    failure_detection_time: Duration,
     accounts: HashMap<Subject, Account>,
 }
 
 impl QuotaOwner {
-    /// An owner that started at `started` and whose silence is noticed within
-    /// `reserved_for`. What was granted before it started is not known to it, so
-    /// its accounts start empty.
-    pub fn new(started: Instant, reserved_for: Duration) -> Self {
+    /// Returns an owner on a node that started at `started` and whose failure other nodes
+    /// notice within `failure_detection_time`. It does not know what was granted before it
+    /// started. Therefore, the buckets of tenants are empty at `started`.
+    pub fn new(started: Instant, failure_detection_time: Duration) -> Self {
         Self {
             started,
-            reserved_for,
+            failure_detection_time,
             accounts: HashMap::new(),
         }
     }
 
-    /// Forgets tenants that `known` does not name, and runners that nobody calls.
-    pub fn retain(&mut self, known: impl Fn(&str) -> bool, now: Instant) {
+    /// Drops the accounts of tenants for which `is_known_tenant` returns false, and those of
+    /// runners and requests that were not asked about for [`RUNNER_KEPT_FOR`] or
+    /// [`REQUEST_KEPT_FOR`].
+    pub fn retain(&mut self, is_known_tenant: impl Fn(&str) -> bool, now: Instant) {
         self.accounts.retain(|subject, account| match subject {
-            Subject::Tenant(name) => known(name),
+            Subject::Tenant(name) => is_known_tenant(name),
             Subject::Runner(_) => account.was_asked_within(RUNNER_KEPT_FOR, now),
             Subject::Request(_) => account.was_asked_within(REQUEST_KEPT_FOR, now),
         });
     }
 
-    /// Makes room for the account of one more request.
-    fn forget_requests(&mut self, now: Instant) {
+    /// Drops the accounts of requests that were not used for [`REQUEST_KEPT_AT_LEAST`], if
+    /// there are [`MANY_ACCOUNTS`].
+    fn drop_old_requests(&mut self, now: Instant) {
         if self.accounts.len() >= MANY_ACCOUNTS {
             self.accounts.retain(|subject, account| {
                 !matches!(subject, Subject::Request(_))
@@ -185,8 +201,9 @@
         }
     }
 
-    /// Answers `request` against this limit over all nodes, for the `share` of them
-    /// that this node hears.
+    /// Charges `request` to its account and returns the answer. `limit` is the limit over all
+    /// nodes, of which this node grants the fraction that follows from `share`, the nodes that
+    /// it can see.
     pub fn answer(
         &mut self,
         request: &QuotaRequest,
@@ -195,15 +212,16 @@
         now: Instant,
     ) -> QuotaAnswer {
         if matches!(request.subject, Subject::Request(_)) {
-            self.forget_requests(now);
+            self.drop_old_requests(now);
         }
         let started = match &request.subject {
             Subject::Tenant(_) => self.started,
-            // What it was sent before it named its limit is not counted here.
+            // Calls to a runner before it advertised its limit are not counted.
             Subject::Runner(_) | Subject::Request(_) => now,
         };
         let (bucket, limit) = match &request.subject {
-            // Two owners may each bear as many crashes; a part of so few would bear none.
+            // In a partition, each owner grants the whole limit: a fraction of the few
+            // tolerated crashes would tolerate none.
             Subject::Request(_) => (TokenBucket::full(limit, now), limit),
             _ => (TokenBucket::empty(started), limit.scaled(share.part())),
         };
@@ -213,12 +231,13 @@
             .or_insert_with(|| Account::new(bucket, started));
         if let Some(elsewhere_ms) = request.elsewhere_ms {
             let ago = Duration::from_millis(elsewhere_ms.into());
-            account.heard_of_other_owner(now.checked_sub(ago).unwrap_or(started), now);
+            account.note_other_owner(now.checked_sub(ago).unwrap_or(started), now);
         }
         let cost = request.cost as f64;
-        let part = account.count(&request.node, cost, now);
-        let reserve = (part * limit.per_second * self.reserved_for.as_secs_f64()) as u64;
-        match account.take(request, limit, now) {
+        let fraction = account.count(&request.node, cost, now);
+        let reserve =
+            (fraction * limit.per_second * self.failure_detection_time.as_secs_f64()) as u64;
+        match account.try_charge(request, limit, now) {
             Ok(()) => QuotaAnswer::Granted { reserve },
             Err(wait) => QuotaAnswer::Denied {
                 wait_ms: u32::try_from(wait.as_millis() + 1).unwrap_or(u32::MAX),
--- a/crates/callers/src/quarantine.rs
+++ b/crates/callers/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that are sent to no runner, since they crash runners, as one node knows them.
+//! One node's list of quarantined requests: requests that are sent to no runner because
+//! they are considered to crash runners.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,80 +8,86 @@
 
 use crate::Fingerprint;
 
-/// Requests that a node keeps at most: 64 KB.
-const MOST_KEPT: usize = 1024;
-/// Requests that a message tells: the newest, and of the others some in turn, so that a node
-/// that starts learns all of them.
-const NEWEST_TOLD: usize = 8;
-const OTHERS_TOLD: usize = 8;
-/// Difference from which on an end that another node tells is a later one. Nodes tell each
-/// other what they were told, a little late each time.
-const LATER_BY: Duration = Duration::from_secs(30);
+/// Maximum number of requests in the list, which takes 64 KB.
+const MAXIMUM_ENTRIES: usize = 1024;
+/// Number of the most recently added requests that each message to other nodes contains.
+const NEWEST_PER_MESSAGE: usize = 8;
+/// Number of the other requests that each message contains, in rotation, so that a node that
+/// has just started receives all of them.
+const OTHERS_PER_MESSAGE: usize = 8;
+/// Minimum time by which a received end of a quarantine must be after the known end to
+/// replace it. Nodes relay the updates that they receive, and each relay delays the end a
+/// little.
+const MINIMUM_EXTENSION: Duration = Duration::from_secs(30);
 
-/// What a node tells others of a request in quarantine.
+/// Update on one quarantined request, which nodes broadcast to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineNews {
-    /// The request.
+    /// Fingerprint of the quarantined request.
     pub request: Fingerprint,
-    /// Milliseconds until the quarantine ends.
+    /// Time until the quarantine ends, in milliseconds.
     pub left_ms: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
+    /// End of the quarantine.
     until: Instant,
-    /// When this node learnt of it.
-    learnt: Instant,
+    /// Time at which this node added the request or last extended its quarantine.
+    added: Instant,
 }
 
-/// The requests.
+/// The quarantined requests that one node knows, with the ends of their quarantines.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: BTreeMap<Fingerprint, Entry>,
 }
 
 impl Quarantine {
-    /// Keeps `request` in quarantine until then. Whether that is news.
+    /// Quarantines `request` until `until`. Returns whether the request was not quarantined
+    /// before, or its quarantine ends considerably later than before.
     pub fn add(&mut self, request: Fingerprint, until: Instant, now: Instant) -> bool {
         self.entries.retain(|_, entry| entry.until > now);
         let known = self.entries.get(&request);
-        if until <= now || known.is_some_and(|known| until < known.until + LATER_BY) {
+        if until <= now || known.is_some_and(|known| until < known.until + MINIMUM_EXTENSION) {
             return false;
         }
-        let entry = Entry { until, learnt: now };
+        let entry = Entry { until, added: now };
         self.entries.insert(request, entry);
-        if self.entries.len() > MOST_KEPT {
-            self.forget_first_to_end();
+        if self.entries.len() > MAXIMUM_ENTRIES {
+            self.remove_first_to_end();
         }
         true
     }
 
-    fn forget_first_to_end(&mut self) {
+    fn remove_first_to_end(&mut self) {
         let first = self.entries.iter().min_by_key(|(_, entry)| entry.until);
         if let Some(request) = first.map(|(request, _)| *request) {
             self.entries.remove(&request);
         }
     }
 
-    /// Takes in what another node tells; the requests that were news.
-    pub fn hear(&mut self, news: &[QuarantineNews], now: Instant) -> Vec<Fingerprint> {
-        let told = news.iter().filter_map(|news| {
-            let left = Duration::from_millis(news.left_ms.into());
-            Some((news.request, now.checked_add(left)?))
+    /// Applies updates from another node. Returns the requests whose quarantine is new or
+    /// was extended.
+    pub fn hear(&mut self, updates: &[QuarantineNews], now: Instant) -> Vec<Fingerprint> {
+        let ends = updates.iter().filter_map(|update| {
+            let remaining = Duration::from_millis(update.left_ms.into());
+            Some((update.request, now.checked_add(remaining)?))
         });
-        told.filter(|(request, until)| self.add(*request, *until, now))
+        ends.filter(|(request, until)| self.add(*request, *until, now))
             .map(|(request, _)| request)
             .collect()
     }
 
-    /// How much longer `request` is in quarantine, if it is.
+    /// Returns the time until the quarantine of `request` ends; `None` if it is not
+    /// quarantined.
     pub fn left(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         let entry = self.entries.get(&request)?;
-        let left = entry.until.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+        let remaining = entry.until.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// What the message number `round` tells other nodes.
+    /// Returns the updates for the message to other nodes with the number `round`.
     pub fn news(&self, round: usize, now: Instant) -> Vec<QuarantineNews> {
         let mut entries: Vec<(Fingerprint, Entry)> = self
             .entries
@@ -88,13 +95,13 @@
             .filter(|(_, entry)| entry.until > now)
             .map(|(request, entry)| (*request, *entry))
             .collect();
-        entries.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.learnt));
-        let others = entries.split_off(entries.len().min(NEWEST_TOLD));
-        let turns = others.chunks(OTHERS_TOLD).len().max(1);
-        let in_turn = others.chunks(OTHERS_TOLD).nth(round % turns);
+        entries.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.added));
+        let others = entries.split_off(entries.len().min(NEWEST_PER_MESSAGE));
+        let rounds = others.chunks(OTHERS_PER_MESSAGE).len().max(1);
+        let rotating = others.chunks(OTHERS_PER_MESSAGE).nth(round % rounds);
         entries
             .iter()
-            .chain(in_turn.unwrap_or_default())
+            .chain(rotating.unwrap_or_default())
             .map(|(request, entry)| QuarantineNews {
                 request: *request,
                 left_ms: milliseconds(entry.until.saturating_duration_since(now)),
--- a/crates/callers/src/served.rs
+++ b/crates/callers/src/served.rs
@@ -1,53 +1,55 @@
-//! Requests that a node has served lately: what was answered well does not crash runners.
+//! Requests that a node has served successfully in the last minute, which are not suspected
+//! of crashing runners.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::Fingerprint;
 
-/// Requests that are kept: 64 KB.
-const MOST_KEPT: usize = 1024;
-/// Time for which an answer says that a request does no harm: the next version of a model
-/// may not bear it.
-const BELIEVED_FOR: Duration = Duration::from_secs(60);
+/// Number of answers that are recorded, which take 64 KB.
+const MAXIMUM_ENTRIES: usize = 1024;
+/// Time after a successful answer for which a request is considered harmless. It is limited
+/// because the request may crash the next version of a model.
+const HARMLESS_FOR: Duration = Duration::from_secs(60);
 
-/// The requests.
+/// The requests that this node has recently served successfully.
 #[derive(Debug, Default)]
 pub struct RecentlyServed {
-    last: HashMap<Fingerprint, Answered>,
-    /// All answers kept, in order, by their numbers.
+    latest: HashMap<Fingerprint, Answer>,
+    /// The recorded answers from the oldest to the newest: request and number of the answer.
     order: VecDeque<(Fingerprint, u64)>,
+    /// Number of answers so far.
     answers: u64,
 }
 
-/// A request's last answer.
+/// The most recent answer to a request.
 #[derive(Debug, Clone, Copy)]
-struct Answered {
+struct Answer {
     number: u64,
     at: Instant,
 }
 
 impl RecentlyServed {
-    /// Notes that `request` was answered well.
+    /// Records that `request` was answered successfully at `now`.
     pub fn add(&mut self, request: Fingerprint, now: Instant) {
         self.answers += 1;
         let number = self.answers;
-        self.last.insert(request, Answered { number, at: now });
+        self.latest.insert(request, Answer { number, at: now });
         self.order.push_back((request, number));
-        if self.order.len() > MOST_KEPT
+        if self.order.len() > MAXIMUM_ENTRIES
             && let Some((oldest, number)) = self.order.pop_front()
             && self
-                .last
+                .latest
                 .get(&oldest)
-                .is_some_and(|last| last.number == number)
+                .is_some_and(|latest| latest.number == number)
         {
-            self.last.remove(&oldest);
+            self.latest.remove(&oldest);
         }
     }
 
-    /// Whether `request` was answered well a short while ago.
+    /// Returns whether `request` was answered successfully within [`HARMLESS_FOR`].
     pub fn contains(&self, request: Fingerprint, now: Instant) -> bool {
-        let last = self.last.get(&request);
-        last.is_some_and(|last| now.saturating_duration_since(last.at) < BELIEVED_FOR)
+        let latest = self.latest.get(&request);
+        latest.is_some_and(|latest| now.saturating_duration_since(latest.at) < HARMLESS_FOR)
     }
 }
--- a/crates/callers/tests/access.rs
+++ b/crates/callers/tests/access.rs
@@ -1,4 +1,5 @@
-//! Who is served under which credential, by the age of a node's knowledge.
+//! Whether a credential is served, unknown or undecidable, depending on the staleness of a
+//! node's view of the configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +12,12 @@
 const REVOCATION: Duration = Duration::from_secs(5);
 const CHANGE: Duration = Duration::from_secs(3);
 const BOUNDS: AccessBounds = AccessBounds {
-    serve: Some(REVOCATION),
-    deny: CHANGE,
+    maximum_serving_staleness: Some(REVOCATION),
+    maximum_denial_staleness: CHANGE,
 };
 const LENIENT: AccessBounds = AccessBounds {
-    serve: None,
-    deny: CHANGE,
+    maximum_serving_staleness: None,
+    maximum_denial_staleness: CHANGE,
 };
 
 fn route(public: bool) -> Route {
@@ -57,7 +58,8 @@
     }))
 }
 
-/// The tenant's name, or why not.
+/// Returns the name of the tenant under which a request with `secret` is served by a node
+/// whose view has the staleness `age`, or the reason for the denial.
 fn decide(
     secret: Option<&str>,
     age: Option<Duration>,
@@ -71,12 +73,12 @@
 }
 
 #[test]
-fn a_known_credential_serves_until_knowledge_is_as_old_as_the_bound() {
-    let young = REVOCATION - Duration::from_millis(1);
+fn a_known_credential_is_served_until_the_view_is_too_stale() {
+    let fresh = REVOCATION - Duration::from_millis(1);
     let name = Some("tenant-1".into());
-    assert_eq!(decide(Some("secret-1"), Some(young), &BOUNDS), Ok(name));
-    for old in [Some(REVOCATION), Some(2 * REVOCATION), None] {
-        let decision = decide(Some("secret-1"), old, &BOUNDS);
+    assert_eq!(decide(Some("secret-1"), Some(fresh), &BOUNDS), Ok(name));
+    for stale in [Some(REVOCATION), Some(2 * REVOCATION), None] {
+        let decision = decide(Some("secret-1"), stale, &BOUNDS);
         assert_eq!(decision, Err(Denial::OldKnowledge));
     }
     let name = Some("tenant-1".into());
@@ -84,20 +86,20 @@
 }
 
 #[test]
-fn an_unknown_credential_is_denied_only_by_knowledge_in_force() {
-    let young = CHANGE - Duration::from_millis(1);
+fn an_unknown_credential_is_rejected_only_by_a_fresh_view() {
+    let fresh = CHANGE - Duration::from_millis(1);
     for bounds in [&BOUNDS, &LENIENT] {
         let denied = |age| decide(Some("secret-9"), age, bounds);
-        assert_eq!(denied(Some(young)), Err(Denial::Unknown));
+        assert_eq!(denied(Some(fresh)), Err(Denial::Unknown));
         assert_eq!(denied(Some(CHANGE)), Err(Denial::OldKnowledge));
         assert_eq!(denied(None), Err(Denial::OldKnowledge));
     }
-    let none = decide(None, Some(young), &BOUNDS);
+    let none = decide(None, Some(fresh), &BOUNDS);
     assert_eq!(none, Err(Denial::Unknown));
 }
 
 #[test]
-fn public_routes_and_sites_without_tenants_ask_for_no_credential() {
+fn public_routes_and_sites_without_tenants_require_no_credential() {
     let table = table(2);
     let knowledge = Knowledge {
         table: &table,
--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that were at crashed runners: what an owner counts, and what nodes tell each other.
+//! Requests that were at crashed runners: how a limit owner counts them, and how nodes
+//! exchange the resulting quarantines.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,13 +12,13 @@
 use barleyspar_catalog::Credential;
 
 const SECOND: Duration = Duration::from_secs(1);
-const SILENCE: Duration = Duration::from_millis(1300);
+const FAILURE_DETECTION_TIME: Duration = Duration::from_millis(1300);
 
 fn request(number: usize) -> Fingerprint {
     Fingerprint::of("host", "/path/", None, number.to_string().as_bytes())
 }
 
-/// An owner that hears all nodes.
+/// A limit owner with its clock and the nodes that it can see.
 struct Owner {
     owner: QuotaOwner,
     now: Instant,
@@ -28,17 +29,19 @@
     fn new(heard: usize, nodes: usize) -> Self {
         let now = Instant::now();
         Self {
-            owner: QuotaOwner::new(now, SILENCE),
+            owner: QuotaOwner::new(now, FAILURE_DETECTION_TIME),
             now,
             share: Share { heard, nodes },
         }
     }
 
-    /// Whether the request is held to cause crashes now that this one has been counted.
+    /// Counts a crash of `runner` at which the request `subject` had this progress. Returns
+    /// whether the request is now considered to cause crashes.
     fn crashed(&mut self, subject: Fingerprint, runner: &str, progress: Progress) -> bool {
         self.crashed_elsewhere(subject, runner, progress, None)
     }
 
+    /// Like [`Self::crashed`], asked by a node that asked another owner `elsewhere_ms` ago.
     fn crashed_elsewhere(
         &mut self,
         subject: Fingerprint,
@@ -62,7 +65,7 @@
 }
 
 #[test]
-fn a_request_is_the_same_in_each_try_and_differs_by_path_caller_and_body() {
+fn a_fingerprint_is_the_same_in_each_retry_and_differs_by_path_caller_and_body() {
     let caller = Credential::of(b"one");
     let other = Credential::of(b"other");
     let first = Fingerprint::of("host", "/a?b", Some(&caller), b"body");
@@ -81,14 +84,14 @@
 }
 
 #[test]
-fn two_crashes_as_it_began_to_run_or_four_others_are_too_many() {
-    for (progress, most) in [
+fn two_crashes_of_a_started_request_or_four_others_are_too_many() {
+    for (progress, tolerated) in [
         (Progress::Started, 1),
         (Progress::Queued, 3),
         (Progress::Answering, 3),
     ] {
         let mut owner = Owner::new(6, 6);
-        for number in 0..most {
+        for number in 0..tolerated {
             assert!(!owner.crashed(request(1), &format!("r{number}"), progress));
         }
         assert!(owner.crashed(request(1), "last", progress), "{progress:?}");
@@ -105,28 +108,30 @@
         }
     }
     assert!(owner.crashed(request(1), "r2", Progress::Started));
-    // The answer may be lost, and the node asks again.
+    // The owner's answer may be lost, so that the node asks again.
     assert!(owner.crashed(request(1), "r2", Progress::Started));
 }
 
-/// Part of a limit of two crashes would be none.
+/// A minority owner grants only a fraction of other limits. A fraction of the few tolerated
+/// crashes would tolerate none.
 #[test]
-fn an_owner_that_hears_few_bears_as_many_crashes() {
+fn a_minority_owner_tolerates_as_many_crashes() {
     let mut owner = Owner::new(1, 6);
     assert!(!owner.crashed(request(1), "r1", Progress::Started));
     assert!(owner.crashed(request(1), "r2", Progress::Started));
 }
 
-/// What a former owner counted is lost with it; the request was at a crash, or it would not
-/// have been asked about.
+/// Guards against tolerating too many crashes after a change of the owner, since the new
+/// owner does not know the previous one's counts. It assumes a counted crash, because nodes
+/// ask only about requests that were present at one.
 #[test]
-fn a_crash_that_another_owner_counted_lately_is_not_forgiven() {
+fn a_crash_that_another_owner_counted_recently_is_not_forgiven() {
     let mut owner = Owner::new(5, 6);
     assert!(!owner.crashed(request(2), "r2", Progress::Started));
-    let elsewhere = Some(400);
+    let other_owner_ms = Some(400);
     assert!(!owner.crashed_elsewhere(request(1), "r0", Progress::Queued, None));
     owner.now += SECOND;
-    assert!(owner.crashed_elsewhere(request(1), "r2", Progress::Started, elsewhere));
+    assert!(owner.crashed_elsewhere(request(1), "r2", Progress::Started, other_owner_ms));
 }
 
 #[test]
@@ -139,24 +144,24 @@
 }
 
 #[test]
-fn an_owner_keeps_account_of_so_many_requests() {
+fn an_owner_drops_the_oldest_of_many_requests() {
     let mut owner = Owner::new(6, 6);
     assert!(!owner.crashed(request(0), "r1", Progress::Started));
     owner.now += 61 * SECOND;
     for number in 1..=10_000 {
         owner.crashed(request(number), "r2", Progress::Started);
     }
-    // The oldest was forgotten, the newest was not.
+    // The account of the oldest request was dropped, that of the newest was not.
     assert!(!owner.crashed(request(0), "r3", Progress::Started));
     assert!(owner.crashed(request(10_000), "r3", Progress::Started));
 }
 
 #[test]
-fn what_nodes_tell_on_ends_when_it_should() {
+fn a_relayed_quarantine_ends_on_time() {
     let now = Instant::now();
     let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     assert!(one.add(request(1), now + 100 * SECOND, now));
-    // Each way takes a while, and each node tells on what it was told.
+    // Each message takes a while, and each node relays what it has received.
     for step in 0..390 {
         let at = now + step * SECOND / 4;
         other.hear(&one.news(step as usize, at), at + SECOND / 10);
@@ -170,27 +175,27 @@
 }
 
 #[test]
-fn a_node_that_starts_is_told_of_all_in_a_while_and_the_newest_at_once() {
+fn a_message_contains_the_newest_quarantines_and_the_others_in_rotation() {
     const MANY: usize = 200;
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for number in 0..MANY {
-        let learnt = now + SECOND * number as u32 / 100;
-        quarantine.add(request(number), now + 600 * SECOND, learnt);
+        let added = now + SECOND * number as u32 / 100;
+        quarantine.add(request(number), now + 600 * SECOND, added);
     }
     let now = now + 3 * SECOND;
-    let told = |round| {
-        let news = quarantine.news(round, now);
-        assert!(news.len() <= 16, "{}", news.len());
-        news.into_iter().map(|news| news.request)
+    let sent = |round| {
+        let updates = quarantine.news(round, now);
+        assert!(updates.len() <= 16, "{}", updates.len());
+        updates.into_iter().map(|update| update.request)
     };
-    assert!(told(0).any(|told| told == request(MANY - 1)));
-    let all: BTreeSet<Fingerprint> = (0..25).flat_map(told).collect();
+    assert!(sent(0).any(|sent| sent == request(MANY - 1)));
+    let all: BTreeSet<Fingerprint> = (0..25).flat_map(sent).collect();
     assert_eq!(all.len(), MANY);
 }
 
 #[test]
-fn a_quarantine_keeps_so_many_and_those_that_last_longest() {
+fn a_full_quarantine_keeps_the_requests_that_end_last() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for number in 0..2000 {
@@ -204,14 +209,14 @@
 }
 
 #[test]
-fn what_was_served_lately_is_known_for_a_while() {
+fn a_served_request_is_remembered_for_a_minute() {
     let now = Instant::now();
     let mut served = RecentlyServed::default();
     served.add(request(1), now);
     assert!(served.contains(request(1), now + 59 * SECOND));
     assert!(!served.contains(request(1), now + 61 * SECOND));
     assert!(!served.contains(request(2), now));
-    // One that is served again and again stays, whatever else is served.
+    // A request that is served repeatedly stays recorded, whatever else is served.
     for number in 0..5000 {
         served.add(request(10 + number), now);
         if number.is_multiple_of(500) {
--- a/crates/callers/tests/fleet.rs
+++ b/crates/callers/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A tenant's limit over a whole fleet: owners against equal shares, and both
-//! against one perfect bucket.
+//! A tenant's limit over a whole fleet: compares limit owners with equal shares per node,
+//! and both with one ideal bucket for all nodes.
 //!
 //! `cargo test -p barleyspar-callers --test fleet -- --nocapture` prints the table
 //! of docs/design/callers.md.
@@ -22,36 +22,36 @@
     per_second: 20_000.0,
     burst: 20_000.0,
 };
-/// Tokens of a request, in turn: a few are long.
+/// Costs of successive requests, in tokens; a few requests are long.
 const COSTS: [u64; 5] = [700, 1600, 1600, 1600, 4000];
 const STEP: Duration = Duration::from_millis(5);
 const LENGTH: Duration = Duration::from_secs(30);
-/// Silence after which a node is thought gone.
-const SILENCE: Duration = Duration::from_millis(1600);
+/// Time without messages after which a node is considered failed.
+const FAILURE_DETECTION_TIME: Duration = Duration::from_millis(1600);
 
-/// What befalls the fleet from the tenth second on.
+/// Fault in the fleet from the tenth second on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// A third of the nodes hear nobody for eight seconds.
+    /// A third of the nodes are isolated for eight seconds.
     Cut,
-    /// The tenant's owner is gone for good.
+    /// The tenant's limit owner fails permanently.
     OwnerDies,
-    /// The tenant's owner stands still for seven seconds.
+    /// The tenant's limit owner stops for seven seconds.
     OwnerFreezes,
-    /// All nodes start anew, without what they knew.
+    /// All nodes restart and lose their state.
     AllRestart,
-    /// The limit falls to a third.
+    /// The limit is lowered to a third.
     Lowered,
 }
 
-const TROUBLES: [Trouble; 6] = [
-    Trouble::None,
-    Trouble::Cut,
-    Trouble::OwnerDies,
-    Trouble::OwnerFreezes,
-    Trouble::AllRestart,
-    Trouble::Lowered,
+const FAULTS: [Fault; 6] = [
+    Fault::None,
+    Fault::Cut,
+    Fault::OwnerDies,
+    Fault::OwnerFreezes,
+    Fault::AllRestart,
+    Fault::Lowered,
 ];
 
 struct Node {
@@ -61,26 +61,26 @@
 }
 
 struct Fleet {
-    trouble: Trouble,
+    fault: Fault,
     nodes: Vec<Node>,
     start: Instant,
     now: Instant,
     numbers: u64,
 }
 
-/// What was granted: when and how much.
+/// Granted requests: time and cost of each.
 type Granted = Vec<(Instant, u64)>;
 
 impl Fleet {
-    fn new(count: usize, trouble: Trouble) -> Self {
+    fn new(count: usize, fault: Fault) -> Self {
         let start = Instant::now();
         let node = |_| Node {
             ledger: QuotaLedger::new(BOUNDS.window),
-            owner: QuotaOwner::new(start, SILENCE),
+            owner: QuotaOwner::new(start, FAILURE_DETECTION_TIME),
             share: TokenBucket::empty(start),
         };
         Self {
-            trouble,
+            fault,
             nodes: (0..count).map(node).collect(),
             start,
             now: start,
@@ -92,45 +92,48 @@
         (self.now - self.start).as_secs_f64()
     }
 
-    fn since_trouble(&self) -> f64 {
+    /// Returns the time since the fault began, in seconds; negative before it.
+    fn since_fault(&self) -> f64 {
         self.seconds() - 10.0
     }
 
-    /// Whether `node` hears others and is heard, as things are.
-    fn is_in(&self, node: usize) -> bool {
-        let since = self.since_trouble();
-        match self.trouble {
-            Trouble::Cut => node % 3 != 1 || !(0.0..8.0).contains(&since),
-            Trouble::OwnerDies => node != 0 || since < 0.0,
-            Trouble::OwnerFreezes => node != 0 || !(0.0..7.0).contains(&since),
+    /// Returns whether `node` is connected to other nodes.
+    fn is_connected(&self, node: usize) -> bool {
+        let since = self.since_fault();
+        match self.fault {
+            Fault::Cut => node % 3 != 1 || !(0.0..8.0).contains(&since),
+            Fault::OwnerDies => node != 0 || since < 0.0,
+            Fault::OwnerFreezes => node != 0 || !(0.0..7.0).contains(&since),
             _ => true,
         }
     }
 
-    /// The same as others believe it: they notice within [`SILENCE`].
-    fn is_thought_in(&self, node: usize) -> bool {
-        let lately = (SILENCE.as_secs_f64() + self.since_trouble() > 0.0)
-            && self.since_trouble() < SILENCE.as_secs_f64();
-        lately || self.is_in(node)
+    /// Returns whether other nodes consider `node` connected: they notice a failure only after
+    /// [`FAILURE_DETECTION_TIME`].
+    fn is_considered_connected(&self, node: usize) -> bool {
+        let undetected = (FAILURE_DETECTION_TIME.as_secs_f64() + self.since_fault() > 0.0)
+            && self.since_fault() < FAILURE_DETECTION_TIME.as_secs_f64();
+        undetected || self.is_connected(node)
     }
 
-    /// The nodes that `node` hears, itself included.
-    fn heard(&self, node: usize) -> Vec<usize> {
-        let alone = !self.is_in(node) && self.since_trouble() > SILENCE.as_secs_f64();
-        if alone {
+    /// Returns the nodes that `node` considers connected, itself included.
+    fn visible_nodes(&self, node: usize) -> Vec<usize> {
+        let isolated =
+            !self.is_connected(node) && self.since_fault() > FAILURE_DETECTION_TIME.as_secs_f64();
+        if isolated {
             return vec![node];
         }
         (0..self.nodes.len())
-            .filter(|other| *other == node || self.is_thought_in(*other))
+            .filter(|other| *other == node || self.is_considered_connected(*other))
             .collect()
     }
 
     fn limit(&self) -> QuotaLimit {
-        let lowered = self.trouble == Trouble::Lowered && self.since_trouble() > 0.0;
-        let part = if lowered { 1.0 / 3.0 } else { 1.0 };
+        let lowered = self.fault == Fault::Lowered && self.since_fault() > 0.0;
+        let factor = if lowered { 1.0 / 3.0 } else { 1.0 };
         let quota = Quota {
-            per_second: QUOTA.per_second * part,
-            burst: QUOTA.burst * part,
+            per_second: QUOTA.per_second * factor,
+            burst: QUOTA.burst * factor,
             ..QUOTA
         };
         QuotaLimit::new(&quota, &BOUNDS)
@@ -139,19 +142,19 @@
     fn restart_all(&mut self) {
         let count = self.nodes.len();
         let (start, now, numbers) = (self.start, self.now, self.numbers);
-        *self = Self::new(count, self.trouble);
+        *self = Self::new(count, self.fault);
         for node in &mut self.nodes {
-            node.owner = QuotaOwner::new(now, SILENCE);
+            node.owner = QuotaOwner::new(now, FAILURE_DETECTION_TIME);
             node.share = TokenBucket::empty(now);
         }
         (self.start, self.now, self.numbers) = (start, now, numbers);
     }
 
-    /// A request of `cost` comes to `node`; the owners decide.
-    fn by_owners(&mut self, node: usize, cost: u64) -> bool {
+    /// Returns whether a request of `cost` at `node` is granted, decided by limit owners.
+    fn granted_by_owners(&mut self, node: usize, cost: u64) -> bool {
         let tenant = Subject::Tenant("tenant".into());
         let (now, limit) = (self.now, self.limit());
-        let owner = self.heard(node)[0];
+        let owner = self.visible_nodes(node)[0];
         let owner_name: Arc<str> = format!("node-{owner}").into();
         let elsewhere_ms = self.nodes[node].ledger.asks(&tenant, &owner_name, now);
         self.numbers += 1;
@@ -164,12 +167,12 @@
             once_for: None,
             elsewhere_ms,
         };
-        let reached = owner == node || (self.is_in(node) && self.is_in(owner));
+        let reachable = owner == node || (self.is_connected(node) && self.is_connected(owner));
         let share = Share {
-            heard: self.heard(owner).len(),
+            heard: self.visible_nodes(owner).len(),
             nodes: self.nodes.len(),
         };
-        if !reached || self.heard(owner)[0] != owner {
+        if !reachable || self.visible_nodes(owner)[0] != owner {
             let draw = (self.numbers * 7919 % 1000) as f64 / 1000.0;
             return self.nodes[node]
                 .ledger
@@ -178,46 +181,47 @@
         let (granted, reserve) = match self.nodes[owner].owner.answer(&request, limit, share, now) {
             QuotaAnswer::Granted { reserve } => (true, reserve),
             QuotaAnswer::Denied { reserve, .. } => (false, reserve),
-            QuotaAnswer::NotOwner => unreachable!("an owner never says so itself"),
+            QuotaAnswer::NotOwner => unreachable!("an owner never returns this itself"),
         };
         self.nodes[node].ledger.set_reserve(&tenant, reserve, now);
         granted
     }
 
-    /// The same by equal shares of the limit, which need no messages.
-    fn by_equal_shares(&mut self, node: usize, cost: u64) -> bool {
+    /// Returns whether a request of `cost` at `node` is granted, decided by equal shares of
+    /// the limit, which need no messages.
+    fn granted_by_equal_shares(&mut self, node: usize, cost: u64) -> bool {
         let limit = self.limit().scaled(1.0 / self.nodes.len() as f64);
-        // A share may be less than a request: then a full one is worth one.
+        // A share may be smaller than a request's cost; a full share then grants it.
         let limit = QuotaLimit {
-            most_for_one: limit.depth,
+            maximum_required: limit.depth,
             ..limit
         };
         let share = &mut self.nodes[node].share;
-        share.take(cost as f64, limit, self.now).is_ok()
+        share.try_take(cost as f64, limit, self.now).is_ok()
     }
 
-    /// Asks for `demand` times the limit, most of it at few nodes: what was
-    /// granted by the way `decide`, and by one perfect bucket.
-    fn play(
+    /// Simulates requests for `demand` times the limit, most of them at few nodes. Returns
+    /// the requests that `decide` granted, and those that one ideal bucket granted.
+    fn simulate(
         mut self,
         demand: f64,
         decide: impl Fn(&mut Self, usize, u64) -> bool,
     ) -> (Granted, Granted) {
-        let mut perfect = TokenBucket::empty(self.start);
+        let mut ideal_bucket = TokenBucket::empty(self.start);
         let (mut granted, mut ideal) = (Vec::new(), Vec::new());
-        let (mut owed, mut turn, mut restarted) = (0.0, 0_usize, false);
+        let (mut demanded, mut number, mut restarted) = (0.0, 0_usize, false);
         while self.now - self.start < LENGTH {
             self.now += STEP;
-            if self.trouble == Trouble::AllRestart && self.since_trouble() > 0.0 && !restarted {
+            if self.fault == Fault::AllRestart && self.since_fault() > 0.0 && !restarted {
                 restarted = true;
                 self.restart_all();
             }
-            owed += demand * QUOTA.per_second * STEP.as_secs_f64();
-            while owed > 0.0 {
-                let cost = COSTS[turn % COSTS.len()];
-                let node = self.sender(turn);
-                turn += 1;
-                owed -= cost as f64;
+            demanded += demand * QUOTA.per_second * STEP.as_secs_f64();
+            while demanded > 0.0 {
+                let cost = COSTS[number % COSTS.len()];
+                let node = self.receiving_node(number);
+                number += 1;
+                demanded -= cost as f64;
                 if self.seconds() < 2.0 {
                     continue;
                 }
@@ -225,7 +229,7 @@
                     per_second: self.limit().per_second / 1.05,
                     ..self.limit()
                 };
-                if perfect.take(cost as f64, limit, self.now).is_ok() {
+                if ideal_bucket.try_take(cost as f64, limit, self.now).is_ok() {
                     ideal.push((self.now, cost));
                 }
                 if decide(&mut self, node, cost) {
@@ -236,21 +240,22 @@
         (granted, ideal)
     }
 
-    /// Who gets the request of this turn: a fifth of the nodes get four fifths.
-    fn sender(&self, turn: usize) -> usize {
+    /// Returns the node that receives the request with this number: a fifth of the nodes
+    /// receive four fifths of the requests.
+    fn receiving_node(&self, number: usize) -> usize {
         let nodes = self.nodes.len();
-        let spread = turn.wrapping_mul(7919) / 3;
-        let sender = if turn.is_multiple_of(5) {
+        let spread = number.wrapping_mul(7919) / 3;
+        let node = if number.is_multiple_of(5) {
             spread % nodes
         } else {
             spread % (nodes / 5).max(2)
         };
-        // Nobody gets through to a node that is gone or stands still.
-        let silent = matches!(self.trouble, Trouble::OwnerDies | Trouble::OwnerFreezes);
-        if silent && !self.is_in(sender) {
-            sender + 1
+        // A failed or stopped node receives no requests.
+        let owner_fails = matches!(self.fault, Fault::OwnerDies | Fault::OwnerFreezes);
+        if owner_fails && !self.is_connected(node) {
+            node + 1
         } else {
-            sender
+            node
         }
     }
 }
@@ -259,11 +264,12 @@
     granted.iter().map(|(_, cost)| *cost as f64).sum()
 }
 
-/// Most tokens in any window, over what the rule allows.
-fn fullest_window(granted: &Granted, limit_part: f64) -> f64 {
+/// Returns the maximum number of tokens granted in any window, as a fraction of what the
+/// quota's bounds permit for `limit_factor` times the limit.
+fn fullest_window(granted: &Granted, limit_factor: f64) -> f64 {
     let window = BOUNDS.window.as_secs_f64();
-    let promised = (QUOTA.per_second * window + QUOTA.burst) * limit_part;
-    let allowed = promised * (1.0 + BOUNDS.overage) + BOUNDS.tolerance;
+    let limit = (QUOTA.per_second * window + QUOTA.burst) * limit_factor;
+    let permitted = limit * (1.0 + BOUNDS.overage) + BOUNDS.tolerance;
     let (mut first, mut units, mut most) = (0, 0_u64, 0_u64);
     for (at, cost) in granted {
         units += cost;
@@ -273,59 +279,61 @@
         }
         most = most.max(units);
     }
-    most as f64 / allowed
+    most as f64 / permitted
 }
 
 #[test]
 fn owners_keep_the_limit_and_grant_what_it_allows() {
     println!(
-        "nodes  demand  trouble       owners: window, granted   equal shares: window, granted"
+        "nodes  demand  fault         owners: window, granted   equal shares: window, granted"
     );
     for count in [6, 87, 295] {
         for demand in [0.6, 4.0] {
-            for trouble in TROUBLES {
-                let (granted, ideal) = Fleet::new(count, trouble).play(demand, Fleet::by_owners);
-                let (equal, _) = Fleet::new(count, trouble).play(demand, Fleet::by_equal_shares);
+            for fault in FAULTS {
+                let (granted, ideal) =
+                    Fleet::new(count, fault).simulate(demand, Fleet::granted_by_owners);
+                let (equal, _) =
+                    Fleet::new(count, fault).simulate(demand, Fleet::granted_by_equal_shares);
                 let window = fullest_window(&granted, 1.0);
-                let part = sum(&granted) / sum(&ideal);
+                let fraction = sum(&granted) / sum(&ideal);
                 println!(
-                    "{count:5}  {demand:6}  {trouble:12?}  {window:.2}  {part:.2}   {:.2}  {:.2}",
+                    "{count:5}  {demand:6}  {fault:12?}  {window:.2}  {fraction:.2}   {:.2}  {:.2}",
                     fullest_window(&equal, 1.0),
                     sum(&equal) / sum(&ideal)
                 );
-                assert!(window <= 1.0, "{count} nodes, {trouble:?}: {window}");
-                let least = least_granted(trouble, demand);
-                assert!(part >= least, "{count} nodes, {trouble:?}: {part}");
+                assert!(window <= 1.0, "{count} nodes, {fault:?}: {window}");
+                let least = least_granted(fault, demand);
+                assert!(fraction >= least, "{count} nodes, {fault:?}: {fraction}");
             }
         }
     }
 }
 
-/// Part of what a perfect bucket grants that owners must grant: callers at nodes
-/// that are cut off get little, and a new owner begins with nothing.
-fn least_granted(trouble: Trouble, demand: f64) -> f64 {
-    match trouble {
-        Trouble::None | Trouble::Lowered => 0.98,
-        Trouble::Cut if demand < 1.0 => 0.85,
+/// Returns the minimum that owners must grant, as a fraction of what an ideal bucket grants.
+/// Callers at isolated nodes get little, and a new owner starts with an empty bucket.
+fn least_granted(fault: Fault, demand: f64) -> f64 {
+    match fault {
+        Fault::None | Fault::Lowered => 0.98,
+        Fault::Cut if demand < 1.0 => 0.85,
         _ => 0.9,
     }
 }
 
-/// After a limit is lowered, the window that lies wholly behind it holds.
+/// Windows that lie entirely after the lowering of a limit must stay within the new limit.
 #[test]
 fn a_lowered_limit_binds_within_a_window() {
-    let (granted, _) = Fleet::new(87, Trouble::Lowered).play(4.0, Fleet::by_owners);
+    let (granted, _) = Fleet::new(87, Fault::Lowered).simulate(4.0, Fleet::granted_by_owners);
     let start = granted[0].0;
-    let behind = Duration::from_secs(10) + BOUNDS.window;
-    let late: Granted = granted
+    let first_full_window = Duration::from_secs(10) + BOUNDS.window;
+    let later: Granted = granted
         .into_iter()
-        .filter(|(at, _)| *at - start > behind)
+        .filter(|(at, _)| *at - start > first_full_window)
         .collect();
-    assert!(fullest_window(&late, 1.0 / 3.0) <= 1.0);
+    assert!(fullest_window(&later, 1.0 / 3.0) <= 1.0);
 }
 
 #[test]
-fn what_was_not_used_serves_another_request_for_a_while() {
+fn unused_units_may_be_used_by_another_request_for_a_while() {
     let now = Instant::now();
     let tenant = Subject::Tenant("tenant".into());
     let mut ledger = QuotaLedger::new(BOUNDS.window);
