--- a/crates/catalog/src/configuration.rs
+++ b/crates/catalog/src/configuration.rs
@@ -69,7 +69,8 @@
     pub priority: u8,
     /// Services among which the traffic is split; never empty.
     pub backends: Vec<Backend>,
-    /// Maximum number of attempts (sends to a runner) for one request of a client.
+    /// Maximum number of attempts (sends to a runner) for one request of a client. Each retry
+    /// by the client counts as a new request.
     pub maximum_attempts: u32,
     /// Whether a broken stream may be resumed at another runner.
     pub resumable: bool,
