--- a/crates/callers/benches/admission.rs
+++ b/crates/callers/benches/admission.rs
@@ -93,11 +93,11 @@
         for number in 0..REQUESTS {
             let now = Instant::now();
             let credential = Credential::of(secrets[number % tenants].as_bytes());
-            let knowledge = Knowledge {
+            let view = Knowledge {
                 table: &table,
                 age: Some(Duration::ZERO),
             };
-            let tenant = authorize(knowledge, &route, Some(&credential), &bounds)
+            let tenant = authorize(view, &route, Some(&credential), &bounds)
                 .expect("the credential is known")
                 .expect("the route requires a tenant");
             let limit = QuotaLimit::new(&QUOTA, &BOUNDS);
--- a/crates/callers/src/access.rs
+++ b/crates/callers/src/access.rs
@@ -51,7 +51,7 @@
 impl Knowledge<'_> {
     /// Returns whether the staleness is known and below `bound`.
     fn is_fresher_than(&self, bound: Duration) -> bool {
-        self.age.is_some_and(|age| age < bound)
+        self.age.is_some_and(|staleness| staleness < bound)
     }
 
     /// Returns whether the view is fresh enough to serve requests under credentials.
@@ -74,23 +74,23 @@
 /// Returns the tenant under which a request on `route` with `credential` is served; `None`
 /// if the route does not require one.
 pub fn authorize(
-    knowledge: Knowledge<'_>,
+    view: Knowledge<'_>,
     route: &Route,
     credential: Option<&Credential>,
     bounds: &AccessBounds,
 ) -> Result<Option<Arc<Tenant>>, Denial> {
-    if !knowledge.table.requires_tenant(route) {
+    if !view.table.requires_tenant(route) {
         return Ok(None);
     }
-    if !knowledge.may_serve(bounds) {
+    if !view.may_serve(bounds) {
         return Err(Denial::OldKnowledge);
     }
     let Some(credential) = credential else {
         return Err(Denial::Unknown);
     };
-    match knowledge.table.tenant_of(credential) {
+    match view.table.tenant_of(credential) {
         Some(tenant) => Ok(Some(tenant.clone())),
-        None if knowledge.is_fresher_than(bounds.maximum_denial_staleness) => Err(Denial::Unknown),
+        None if view.is_fresher_than(bounds.maximum_denial_staleness) => Err(Denial::Unknown),
         None => Err(Denial::OldKnowledge),
     }
 }
--- a/crates/callers/src/ledger.rs
+++ b/crates/callers/src/ledger.rs
@@ -49,7 +49,7 @@
     }
 
     /// Drops the records on tenants for which `is_known_tenant` returns false, and on runners
-    /// and requests about which no owner was asked for [`RUNNER_KEPT_FOR`].
+    /// and requests about which no owner was asked for `RUNNER_KEPT_FOR`.
     pub fn retain(&mut self, is_known_tenant: impl Fn(&str) -> bool, now: Instant) {
         let is_recent = |last_asked: Option<Instant>| {
             last_asked.is_some_and(|at| now.saturating_duration_since(at) < RUNNER_KEPT_FOR)
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -22,9 +22,9 @@
 /// Fraction of all units asked for below which the record on a node is dropped.
 const NEGLIGIBLE_FRACTION: f64 = 1e-4;
 
-/// Factor on the limit of a group of at most half of all nodes, in addition to the group's
-/// fraction of the nodes. All such groups together grant at most a tenth of the limit, in
-/// addition to a majority group that grants it whole.
+/// Factor on the limit that a group of at most half of all nodes grants, applied to the
+/// group's fraction of all nodes. All such groups together grant at most a tenth of the limit,
+/// in addition to a majority group that grants the whole limit.
 const MINORITY_FACTOR: f64 = 0.1;
 
 /// The nodes that an owner can see: their number and that of all nodes.
@@ -84,8 +84,8 @@
     bucket: TokenBucket,
     /// Units that were charged once, by the key that they were charged for.
     charged_once: HashMap<Arc<str>, u64>,
-    /// Time of the last known question of any node to another owner, or the account's start.
-    /// From then on, all use is counted in this account.
+    /// Time at which this owner last learned that a node had asked another owner, or the
+    /// account's start. The bucket counts all use since then.
     sole_owner_since: Instant,
     /// Units that all nodes asked for.
     total: DecayingUnits,
@@ -180,8 +180,8 @@
     }
 
     /// Drops the accounts of tenants for which `is_known_tenant` returns false, and those of
-    /// runners and requests that were not asked about for [`RUNNER_KEPT_FOR`] or
-    /// [`REQUEST_KEPT_FOR`].
+    /// runners and requests that were not asked about for `RUNNER_KEPT_FOR` or
+    /// `REQUEST_KEPT_FOR`.
     pub fn retain(&mut self, is_known_tenant: impl Fn(&str) -> bool, now: Instant) {
         self.accounts.retain(|subject, account| match subject {
             Subject::Tenant(name) => is_known_tenant(name),
--- a/crates/callers/src/served.rs
+++ b/crates/callers/src/served.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether `request` was answered successfully within [`HARMLESS_FOR`].
+    /// Returns whether `request` was answered successfully within `HARMLESS_FOR`.
     pub fn contains(&self, request: Fingerprint, now: Instant) -> bool {
         let latest = self.latest.get(&request);
         latest.is_some_and(|latest| now.saturating_duration_since(latest.at) < HARMLESS_FOR)
--- a/crates/callers/tests/access.rs
+++ b/crates/callers/tests/access.rs
@@ -66,9 +66,9 @@
     bounds: &AccessBounds,
 ) -> Result<Option<Arc<str>>, Denial> {
     let table = table(2);
-    let knowledge = Knowledge { table: &table, age };
+    let view = Knowledge { table: &table, age };
     let credential = secret.map(|secret| Credential::of(secret.as_bytes()));
-    let tenant = authorize(knowledge, &route(false), credential.as_ref(), bounds)?;
+    let tenant = authorize(view, &route(false), credential.as_ref(), bounds)?;
     Ok(tenant.map(|tenant| tenant.name.clone()))
 }
 
@@ -101,15 +101,15 @@
 #[test]
 fn public_routes_and_sites_without_tenants_require_no_credential() {
     let table = table(2);
-    let knowledge = Knowledge {
+    let view = Knowledge {
         table: &table,
         age: None,
     };
-    assert_eq!(authorize(knowledge, &route(true), None, &BOUNDS), Ok(None));
+    assert_eq!(authorize(view, &route(true), None, &BOUNDS), Ok(None));
     let empty = RouteTable::default();
-    let knowledge = Knowledge {
+    let view = Knowledge {
         table: &empty,
         age: None,
     };
-    assert_eq!(authorize(knowledge, &route(false), None, &BOUNDS), Ok(None));
+    assert_eq!(authorize(view, &route(false), None, &BOUNDS), Ok(None));
 }
