--- /dev/null
+++ b/crates/catalog/src/signals.rs
@@ -0,0 +1,17 @@
+//! Signals of a runner about itself that any of its answers may carry.
+
+use std::time::Duration;
+
+use crate::RunnerLimit;
+
+/// Signals of a runner about itself in the head of one answer.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct RunnerNotice {
+    /// The rate limit that the runner advertises; `None` if the answer names none.
+    pub limit: Option<RunnerLimit>,
+    /// Whether the runner is draining: it takes no new work and exits soon.
+    pub leaves: bool,
+    /// Time for which the runner asks this node to send it nothing (its `Retry-After`);
+    /// `None` if it does not ask for a pause.
+    pub pause: Option<Duration>,
+}
