--- a/crates/gateway/src/feed/copy.rs
+++ b/crates/gateway/src/feed/copy.rs
@@ -1,4 +1,5 @@
-//! This node's copy of the store, as those that learn of changes write it.
+//! The write side of this node's copy of the store, used by the reader of the store and
+//! the follower of peers.
 
 use std::io;
 use std::time::Duration;
@@ -8,29 +9,31 @@
 use tokio::time::Instant;
 
 use crate::context::Context;
-use crate::feed::follow::Arrived;
-use crate::feed::poll::Reading;
-use crate::feed::state::{Change, FeedState, News};
+use crate::feed::parent_stream::ReceivedFrame;
+use crate::feed::poll::StoreRead;
+use crate::feed::state::{Change, FeedState, Update};
 use crate::feed::times::FeedTimes;
 use crate::store::Store;
 
-/// Time from its start within which a node learns everything from a peer rather
+/// Time from a node's start during which it reads the full state from a peer rather
 /// than from the store: 295 nodes that all read half a megabyte at once keep the
 /// store's link busy for 0.9 s.
-const FIRST_PEERS: Duration = Duration::from_millis(600);
+const PEERS_FIRST_FOR: Duration = Duration::from_millis(600);
 
-/// The copy, with the way to the parts of the node that it concerns.
+/// This node's copy of the store, with the channel that passes its changes to the other
+/// parts of the node.
 pub struct FeedCopy {
     store: Store,
     state: watch::Sender<FeedState>,
     changes: mpsc::Sender<Change>,
-    /// How old the copy may grow.
+    /// Time limits of the feed, derived from the site's bounds.
     pub times: FeedTimes,
     peers_first_until: Instant,
 }
 
 impl FeedCopy {
-    /// A copy of `store` in `state`; `changes` are told what is new.
+    /// Creates a copy of `store` that publishes its state in `state` and sends what is
+    /// new to `changes`.
     pub fn new(
         context: &Context,
         store: &Store,
@@ -42,110 +45,113 @@
             state,
             changes,
             times: FeedTimes::new(&context.settings.bounds),
-            peers_first_until: context.started + FIRST_PEERS,
+            peers_first_until: context.started + PEERS_FIRST_FOR,
         }
     }
 
-    /// Tells of each change of the copy.
+    /// Returns a receiver that is notified of each change of the copy.
     pub fn subscribe(&self) -> watch::Receiver<FeedState> {
         self.state.subscribe()
     }
 
-    /// Until nobody is told any more.
+    /// Waits until nobody receives changes any more, which ends the feed.
     pub async fn closed(&self) {
         self.changes.closed().await;
     }
 
-    /// The revision that the copy shows.
+    /// The store's revision that the copy shows; the default revision while the copy is
+    /// empty.
     pub fn revision(&self) -> Revision {
         self.state.borrow().revision()
     }
 
-    /// Whether anything is known.
-    pub fn is_known(&self) -> bool {
-        self.state.borrow().is_known()
+    /// Whether the copy has been filled from the store or a peer at least once.
+    pub fn has_data(&self) -> bool {
+        self.state.borrow().has_data()
     }
 
-    /// Whether the copy is too old to rely on a parent.
-    pub fn is_overdue(&self) -> bool {
-        self.state.borrow().is_overdue(&self.times, Instant::now())
+    /// Whether the copy is too old to rely on a parent, so that the store must be
+    /// called.
+    pub fn is_stale(&self) -> bool {
+        self.state.borrow().is_stale(&self.times, Instant::now())
     }
 
-    /// When the copy becomes too old to rely on a parent.
-    pub fn deadline(&self) -> Instant {
-        self.state.borrow().deadline(&self.times, Instant::now())
+    /// Returns when the copy becomes stale; the present time if it already is.
+    pub fn stale_at(&self) -> Instant {
+        self.state.borrow().stale_at(&self.times, Instant::now())
     }
 
-    /// Until when a node that has just started asks its peers first; `None` if
-    /// it knows something, or has asked them long enough.
+    /// Returns until when a newly started node asks only its peers. `None` once it has
+    /// data or has asked them for long enough.
     pub fn peers_first_until(&self) -> Option<Instant> {
-        let asks = !self.is_known() && Instant::now() < self.peers_first_until;
-        asks.then_some(self.peers_first_until)
+        let asks_peers = !self.has_data() && Instant::now() < self.peers_first_until;
+        asks_peers.then_some(self.peers_first_until)
     }
 
-    /// Takes in what the store answered.
-    pub async fn take_reading(&self, reading: Reading) {
-        self.take(reading.news, reading.revision, reading.asked, 0)
+    /// Applies an answer of the store.
+    pub async fn apply_read(&self, read: StoreRead) {
+        self.apply(read.update, read.revision, read.asked_at, 0)
             .await;
     }
 
-    /// Takes in a parent's frame.
-    pub async fn take_frame(&self, arrived: Arrived) -> io::Result<()> {
-        let Arrived { frame, complete_at } = arrived;
+    /// Applies a frame from a parent; fails if the frame cannot be decoded.
+    pub async fn apply_frame(&self, received: ReceivedFrame) -> io::Result<()> {
+        let ReceivedFrame { frame, complete_at } = received;
         self.store.note_era(frame.revision.era);
-        let news = frame.content.news()?;
-        self.take(news, frame.revision, complete_at, frame.depth + 1)
+        let update = frame.content.decode()?;
+        self.apply(update, frame.revision, complete_at, frame.depth + 1)
             .await;
         Ok(())
     }
 
-    /// Passes entries on that do not belong to the copy: enough to know whom to
-    /// follow.
-    pub async fn tell_entries(&self, items: Vec<Item>) {
+    /// Publishes entries that do not become part of the copy: the members' entries,
+    /// from which the node learns which peers it can follow.
+    pub async fn publish_entries(&self, items: Vec<Item>) {
         for item in items {
-            self.tell(Change::Event(Event::Written(item))).await;
+            self.publish(Change::Event(Event::Written(item))).await;
         }
     }
 
-    /// Takes in `news` up to `revision`, complete at `complete_at`, as known over
-    /// `depth` steps.
-    async fn take(&self, news: News, revision: Revision, complete_at: Instant, depth: u32) {
+    /// Applies `update`, which leads to `revision`, is complete as of `complete_at` and
+    /// came `depth` steps from the node that watches the store.
+    async fn apply(&self, update: Update, revision: Revision, complete_at: Instant, depth: u32) {
         let mut changes = Vec::new();
         let mut confirmed = false;
-        // Only what is new goes on: two nodes that follow each other while the
-        // store serves neither would tell each other the same without end.
+        // Only what is new is passed on: two nodes that follow each other while the
+        // store is unreachable from both would otherwise send each other the same
+        // frames without end.
         self.state.send_if_modified(|state| {
-            changes = changes_by(state, news, revision);
+            changes = apply_update(state, update, revision);
             confirmed = state.confirm(revision, complete_at, depth);
             confirmed || !changes.is_empty()
         });
         for change in changes {
-            self.tell(change).await;
+            self.publish(change).await;
         }
-        // Behind the changes themselves, that there were no others.
+        // Sent after the changes themselves: it confirms that there were no others.
         if confirmed {
-            self.tell(Change::CompleteAt(complete_at)).await;
+            self.publish(Change::CompleteAt(complete_at)).await;
         }
     }
 
-    async fn tell(&self, change: Change) {
-        // Without a listener the feed ends at its next step.
+    async fn publish(&self, change: Change) {
+        // Without a receiver the feed ends at its next step.
         let _ = self.changes.send(change).await;
     }
 }
 
-/// Takes `news` into `state`; what was not known before.
-fn changes_by(state: &mut FeedState, news: News, revision: Revision) -> Vec<Change> {
-    match news {
-        News::Everything(items) => {
-            let newer = state.take_everything(&items, revision);
-            newer
+/// Applies `update` to `state` and returns the changes that were not known before.
+fn apply_update(state: &mut FeedState, update: Update, revision: Revision) -> Vec<Change> {
+    match update {
+        Update::Everything(items) => {
+            let is_newer = state.replace_all(&items, revision);
+            is_newer
                 .then_some(Change::Everything(items, revision.era))
                 .into_iter()
                 .collect()
         }
-        News::Events(events) => state
-            .take_events(events, revision)
+        Update::Events(events) => state
+            .apply_events(events, revision)
             .into_iter()
             .map(Change::Event)
             .collect(),
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -1,5 +1,5 @@
-//! Follows a peer: the parent that the tree names or, while the store leaves this
-//! node's calls without an answer, any peer that may know more.
+//! Follows a peer: the parent that the feed tree names or, while the store is
+//! unreachable from this node, any peer that may have a newer copy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,104 +10,106 @@
 
 use crate::context::Context;
 use crate::feed::copy::FeedCopy;
-use crate::feed::follow::Following;
+use crate::feed::parent_stream::ParentStream;
 use crate::feed::state::FeedState;
 use crate::feed::tree::{self, Myself, Parent};
 use crate::peers::{Heard, longest_silence};
 
-/// Time for which a parent whose knowledge grew too old is not followed.
+/// Time for which a parent is not followed again after its copy became stale.
 const STALE_AVOIDED_FOR: Duration = Duration::from_secs(5);
-/// Time for which a parent that cannot be reached is not followed.
+/// Time for which a parent is not followed again after its connection failed.
 const BROKEN_AVOIDED_FOR: Duration = Duration::from_secs(2);
-/// Time for which another parent must be the right one before it is followed.
-const SETTLED_AFTER: Duration = Duration::from_secs(2);
+/// Time for which another parent must be the right one before this node switches to it,
+/// so that short changes of the membership cause no reconnects.
+const PARENT_SWITCH_DELAY: Duration = Duration::from_secs(2);
 
-/// Time from a node's first knowledge until it may find that nobody is to be followed:
-/// the members that it read are then known to its other parts.
-const MEMBERS_TAKEN_IN: Duration = Duration::from_millis(100);
-/// Time between two looks meanwhile.
-const MEMBERS_LOOK: Duration = Duration::from_millis(10);
+/// Time from a node's first data until it may conclude that it has no parent: by then
+/// the members that it read have reached the list of peers.
+const MEMBERS_APPLY_TIME: Duration = Duration::from_millis(100);
+/// Time between two checks for a parent during [`MEMBERS_APPLY_TIME`].
+const MEMBERS_CHECK_PERIOD: Duration = Duration::from_millis(10);
 
-/// What to do next.
+/// What the follower does next.
 enum Choice {
     /// Follow this peer.
     Follow(Parent),
-    /// Watch the store for the others.
+    /// Follow nobody and watch the store on behalf of the other nodes.
     Watch,
-    /// Wait for the store, which was asked for what this node may have missed.
+    /// Follow nobody until the store has answered; its reader asks for what this node
+    /// may have missed.
     Wait,
 }
 
-/// Why a peer was left.
+/// Why a peer was abandoned.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// It knew nothing newer in time.
+    /// Its copy was no newer than this node's within the time allowed.
     Stale,
-    /// It cannot be reached, or understood.
+    /// It could not be reached, the connection broke, or a frame could not be decoded.
     Broken,
 }
 
-/// A peer that was left.
-struct Left {
+/// A peer that this node stopped following.
+struct AbandonedPeer {
     at: Instant,
     fault: Fault,
 }
 
-impl Left {
-    /// Whether the peer is not to be relied on yet.
+impl AbandonedPeer {
+    /// Whether it is too early to follow the peer again.
     fn is_avoided(&self) -> bool {
-        let time = match self.fault {
+        let avoided_for = match self.fault {
             Fault::Stale => STALE_AVOIDED_FOR,
             Fault::Broken => BROKEN_AVOIDED_FOR,
         };
-        self.at.elapsed() < time
+        self.at.elapsed() < avoided_for
     }
 }
 
-/// Follows peers.
+/// Chooses which peer this node follows, and follows it.
 pub struct Follower<'a> {
     copy: &'a FeedCopy,
     context: &'a Context,
-    heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
     state: watch::Receiver<FeedState>,
-    /// Whether this node is the one that watches the store for others.
-    watches: watch::Sender<bool>,
-    /// Whether the store leaves this node's calls without an answer.
-    unserved: watch::Receiver<bool>,
-    left: HashMap<Arc<str>, Left>,
-    /// When this node knew anything first.
-    known_since: Option<Instant>,
+    /// Set to true while this node is to watch the store on behalf of the other nodes.
+    is_watcher: watch::Sender<bool>,
+    /// Whether the store is unreachable from this node.
+    unreachable: watch::Receiver<bool>,
+    abandoned: HashMap<Arc<str>, AbandonedPeer>,
+    /// When this node's copy first had data; `None` before.
+    has_data_since: Option<Instant>,
 }
 
 impl<'a> Follower<'a> {
-    /// Follows those that are `heard` on behalf of `copy`, and says when this node
-    /// is to watch the store instead.
+    /// Creates a follower that updates `copy` from one of the peers in `seen_peers`,
+    /// and reports in `is_watcher` when this node is to watch the store instead.
     pub fn new(
         copy: &'a FeedCopy,
         context: &'a Context,
-        heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
-        watches: watch::Sender<bool>,
-        unserved: watch::Receiver<bool>,
+        seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
+        is_watcher: watch::Sender<bool>,
+        unreachable: watch::Receiver<bool>,
     ) -> Self {
         Self {
             copy,
             context,
-            heard,
+            seen_peers,
             state: copy.subscribe(),
-            watches,
-            unserved,
-            left: HashMap::new(),
-            known_since: None,
+            is_watcher,
+            unreachable,
+            abandoned: HashMap::new(),
+            has_data_since: None,
         }
     }
 
-    /// Runs until the feed ends.
+    /// Runs until its future is dropped at the end of the feed.
     pub async fn run(mut self) {
         loop {
             let choice = self.choose();
-            let watches = matches!(choice, Choice::Watch);
-            self.watches
-                .send_if_modified(|former| std::mem::replace(former, watches) != watches);
+            let is_watcher = matches!(choice, Choice::Watch);
+            self.is_watcher
+                .send_if_modified(|former| std::mem::replace(former, is_watcher) != is_watcher);
             match choice {
                 Choice::Follow(parent) => self.follow(parent).await,
                 Choice::Watch | Choice::Wait => self.wait().await,
@@ -116,70 +118,78 @@
     }
 
     fn choose(&mut self) -> Choice {
-        if self.copy.is_known() {
-            self.known_since.get_or_insert_with(Instant::now);
+        if self.copy.has_data() {
+            self.has_data_since.get_or_insert_with(Instant::now);
         }
-        let heard = self.heard.borrow();
-        self.left.retain(|name, _| heard.contains_key(name));
+        let seen_peers = self.seen_peers.borrow();
+        self.abandoned
+            .retain(|name, _| seen_peers.contains_key(name));
         let myself = Myself::of(&self.context.settings);
-        let silence = longest_silence(self.context.dispatch.nodes());
-        if self.copy.is_overdue() && self.copy.peers_first_until().is_none() {
-            let unserved = *self.unserved.borrow();
-            let peer = unserved.then(|| self.any_peer(&myself, &heard, silence));
+        let max_silence = longest_silence(self.context.dispatch.nodes());
+        if self.copy.is_stale() && self.copy.peers_first_until().is_none() {
+            let unreachable = *self.unreachable.borrow();
+            let peer = unreachable
+                .then(|| self.least_recently_tried_peer(&myself, &seen_peers, max_silence));
             return peer.flatten().map_or(Choice::Wait, Choice::Follow);
         }
-        let avoided = |name: &str| self.left.get(name).is_some_and(Left::is_avoided);
-        match tree::parent(&myself, &heard, silence, avoided) {
+        let is_avoided = |name: &str| {
+            self.abandoned
+                .get(name)
+                .is_some_and(AbandonedPeer::is_avoided)
+        };
+        match tree::parent(&myself, &seen_peers, max_silence, is_avoided) {
             Some(parent) => Choice::Follow(parent),
-            // A node that watched the store until it knows its peers would do so with
-            // all others that start: 985 polls at once fill the store's link for a second.
-            None if self.is_settling() => Choice::Wait,
+            // If each starting node watched the store until it knows its peers, 985
+            // polls at once would fill the store's link for a second.
+            None if self.awaits_members() => Choice::Wait,
             None => Choice::Watch,
         }
     }
 
-    /// Whether the members that this node has read may not be taken in yet.
-    fn is_settling(&self) -> bool {
-        self.known_since
-            .is_some_and(|since| since.elapsed() < MEMBERS_TAKEN_IN)
+    /// Whether the members that this node has read may not have reached the list of
+    /// peers yet.
+    fn awaits_members(&self) -> bool {
+        self.has_data_since
+            .is_some_and(|since| since.elapsed() < MEMBERS_APPLY_TIME)
     }
 
-    fn any_peer(
+    fn least_recently_tried_peer(
         &self,
         myself: &Myself,
-        heard: &HashMap<Arc<str>, Heard>,
-        silence: Duration,
+        seen_peers: &HashMap<Arc<str>, Heard>,
+        max_silence: Duration,
     ) -> Option<Parent> {
-        let is_broken = |left: &Left| left.fault == Fault::Broken && left.is_avoided();
-        let usable = |name: &str| !self.left.get(name).is_some_and(is_broken);
-        let left_at = |name: &str| self.left.get(name).map(|left| left.at);
-        tree::any_peer(myself, heard, silence, usable, left_at)
+        let is_broken = |peer: &AbandonedPeer| peer.fault == Fault::Broken && peer.is_avoided();
+        let is_usable = |name: &str| !self.abandoned.get(name).is_some_and(is_broken);
+        let abandoned_at = |name: &str| self.abandoned.get(name).map(|peer| peer.at);
+        tree::least_recently_tried_peer(myself, seen_peers, max_silence, is_usable, abandoned_at)
     }
 
-    /// Waits until another choice may be right.
+    /// Waits until the choice of a parent may have changed.
     async fn wait(&mut self) {
-        let pause = if self.is_settling() {
-            MEMBERS_LOOK
+        let check_pause = if self.awaits_members() {
+            MEMBERS_CHECK_PERIOD
         } else {
             self.copy.times.poll
         };
-        let look_again = Instant::now() + pause;
+        let next_check = Instant::now() + check_pause;
         tokio::select! {
-            () = sleep_until(look_again) => {}
+            () = sleep_until(next_check) => {}
             Ok(()) = self.state.changed() => {}
-            Ok(()) = self.unserved.changed() => {}
+            Ok(()) = self.unreachable.changed() => {}
         }
     }
 
-    /// Follows `parent` until it is of no more use or not the right one.
+    /// Follows `parent` until its copy is stale, the connection fails, or another
+    /// parent is right.
     async fn follow(&mut self, parent: Parent) {
-        let trial = self.trial();
+        let trial_end = self.trial_end();
         let revision = self.copy.revision();
-        let begun = Following::begin(&*self.context.network, &parent, revision).await;
+        let connected = ParentStream::connect(&*self.context.network, &parent, revision).await;
         let name = parent.name;
-        let mut following = match begun {
-            Ok(following) => following,
-            Err(error) => return self.leave(name, Fault::Broken, &error.to_string()),
+        let mut stream = match connected {
+            Ok(stream) => stream,
+            Err(error) => return self.abandon(name, Fault::Broken, &error.to_string()),
         };
         tracing::info!(
             event = "feed_followed",
@@ -187,74 +197,76 @@
             era = revision.era,
             revision = revision.number
         );
-        let mut unsettled_since = None;
+        let mut other_parent_since = None;
         loop {
-            let arrived = tokio::select! {
-                arrived = following.next() => arrived,
-                () = self.knowledge_is_old(trial) => {
-                    return self.leave(name, Fault::Stale, "its knowledge is old");
+            let received = tokio::select! {
+                received = stream.next_frame() => received,
+                () = self.until_stale(trial_end) => {
+                    return self.abandon(name, Fault::Stale, "its copy of the store is stale");
                 }
-                () = self.store_served(), if trial.is_some() => return,
+                () = self.until_store_answers(), if trial_end.is_some() => return,
             };
-            let taken = match arrived {
-                Ok(arrived) => self.copy.take_frame(arrived).await,
-                Err(error) => return self.leave(name, Fault::Broken, &error.to_string()),
+            let applied = match received {
+                Ok(received) => self.copy.apply_frame(received).await,
+                Err(error) => return self.abandon(name, Fault::Broken, &error.to_string()),
             };
-            if let Err(error) = taken {
-                return self.leave(name, Fault::Broken, &error.to_string());
+            if let Err(error) = applied {
+                return self.abandon(name, Fault::Broken, &error.to_string());
             }
-            if self.has_settled_elsewhere(&name, &mut unsettled_since) {
+            if self.should_switch_parent(&name, &mut other_parent_since) {
                 return;
             }
         }
     }
 
-    /// Until when a peer may show that it knows more; `None` for a parent on
-    /// which this node relies.
-    fn trial(&self) -> Option<Instant> {
+    /// Returns until when a peer that is only tried may show a newer copy; `None` for a
+    /// parent on which this node relies.
+    fn trial_end(&self) -> Option<Instant> {
         if let Some(until) = self.copy.peers_first_until() {
             return Some(until);
         }
         let until = Instant::now() + self.copy.times.peer_trial;
-        self.copy.is_overdue().then_some(until)
+        self.copy.is_stale().then_some(until)
     }
 
-    /// Waits until this node's knowledge is too old and `trial` is over.
-    async fn knowledge_is_old(&self, trial: Option<Instant>) {
+    /// Waits until this node's copy is stale and the trial, if any, is over.
+    async fn until_stale(&self, trial_end: Option<Instant>) {
         loop {
-            let deadline = self.copy.deadline();
-            let until = trial.map_or(deadline, |trial| deadline.max(trial));
+            let stale_at = self.copy.stale_at();
+            let until = trial_end.map_or(stale_at, |end| stale_at.max(end));
             sleep_until(until).await;
-            if self.copy.is_overdue() {
+            if self.copy.is_stale() {
                 return;
             }
         }
     }
 
-    /// Waits until the store itself has made this node's knowledge current: then
-    /// the tree names whom to follow.
-    async fn store_served(&self) {
-        let served = |state: &FeedState| {
-            state.depth() == 0 && !state.is_overdue(&self.copy.times, Instant::now())
+    /// Waits until an answer of the store itself has made this node's copy current;
+    /// then the tree names the parent again.
+    async fn until_store_answers(&self) {
+        let store_answered = |state: &FeedState| {
+            state.depth() == 0 && !state.is_stale(&self.copy.times, Instant::now())
         };
-        if self.state.clone().wait_for(served).await.is_err() {
+        if self.state.clone().wait_for(store_answered).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    fn leave(&mut self, name: Arc<str>, fault: Fault, cause: &str) {
+    fn abandon(&mut self, name: Arc<str>, fault: Fault, cause: &str) {
         tracing::info!(event = "feed_left", parent = &*name, cause);
         let at = Instant::now();
-        self.left.insert(name, Left { at, fault });
+        self.abandoned.insert(name, AbandonedPeer { at, fault });
     }
 
-    /// Whether another parent than `followed` has been the right one for a while.
-    fn has_settled_elsewhere(&mut self, followed: &str, since: &mut Option<Instant>) -> bool {
+    /// Whether another parent than `followed` has been the right one for
+    /// [`PARENT_SWITCH_DELAY`]. `since` holds when that began; `None` while `followed`
+    /// is right.
+    fn should_switch_parent(&mut self, followed: &str, since: &mut Option<Instant>) -> bool {
         let choice = self.choose();
         if matches!(choice, Choice::Follow(parent) if &*parent.name == followed) {
             *since = None;
             return false;
         }
-        since.get_or_insert_with(Instant::now).elapsed() > SETTLED_AFTER
+        since.get_or_insert_with(Instant::now).elapsed() > PARENT_SWITCH_DELAY
     }
 }
--- a/crates/gateway/src/feed/frame.rs
+++ b/crates/gateway/src/feed/frame.rs
@@ -1,5 +1,5 @@
-//! Frames between a node and its followers: MessagePack behind a length, large
-//! payloads deflated.
+//! The feed's wire format between a node and its followers: length-prefixed
+//! MessagePack, with large payloads deflated.
 
 use std::io::{self, Read, Write};
 
@@ -12,74 +12,74 @@
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use crate::feed::state::News;
+use crate::feed::state::Update;
 
-/// Longest frame; a longer one ends the connection.
-const LONGEST_FRAME: u32 = 16 << 20;
-/// Longest payload once it is inflated.
-const LONGEST_PAYLOAD: u64 = 64 << 20;
-/// Payloads from this size on are deflated.
-const WORTH_DEFLATING: usize = 400;
+/// Maximum frame size in bytes; a longer one ends the connection.
+const MAX_FRAME_BYTES: u32 = 16 << 20;
+/// Maximum payload size in bytes after inflating; guards against decompression bombs.
+const MAX_PAYLOAD_BYTES: u64 = 64 << 20;
+/// Minimum payload size in bytes that is deflated.
+const MIN_DEFLATED_BYTES: usize = 400;
 
-/// A follower's first and only words.
+/// The first and only message from a follower.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Hello {
-    /// The store's revision that it knows; the first of all if it knows nothing.
+    /// The revision of the follower's copy; the default revision if the copy is empty.
     pub revision: Revision,
 }
 
-/// Changes, or everything, ready for the wire.
+/// A serialized list of events or items, deflated if that is worthwhile.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Packed {
     deflated: bool,
     bytes: Bytes,
 }
 
-/// What a frame brings.
+/// The content of a frame.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Content {
-    /// A list of [`Item`]: everything.
+    /// The full state of the store, as a list of [`Item`].
     Everything(Packed),
-    /// Lists of [`Event`], one after the other; none if nothing changed.
+    /// Changes, as lists of [`Event`] in order; empty if nothing changed.
     Events(Vec<Packed>),
 }
 
 impl Content {
-    /// What it brings, unpacked.
-    pub fn news(&self) -> io::Result<News> {
+    /// Decodes the content.
+    pub fn decode(&self) -> io::Result<Update> {
         match self {
-            Self::Everything(packed) => packed.items().map(News::Everything),
+            Self::Everything(packed) => packed.items().map(Update::Everything),
             Self::Events(batches) => {
                 let mut events = Vec::new();
                 for batch in batches {
                     events.extend(batch.events()?);
                 }
-                Ok(News::Events(events))
+                Ok(Update::Events(events))
             }
         }
     }
 }
 
-/// What a node tells its followers.
+/// A message from a node to a follower.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Frame {
-    /// Milliseconds since the sender took this follower's [`Hello`], on its
-    /// monotonic clock, rounded down.
+    /// Milliseconds since the sender received this follower's [`Hello`], on the
+    /// sender's monotonic clock, rounded down.
     pub since_hello_ms: u64,
-    /// Milliseconds for which the sender may have missed changes.
+    /// Milliseconds for which the sender may have missed changes, rounded up.
     pub age_ms: u32,
-    /// Steps between the sender and the store's watcher.
+    /// Steps between the sender and the node that watches the store.
     pub depth: u32,
-    /// The store's revision that the follower knows after this frame.
+    /// The revision of the follower's copy once it has applied this frame.
     pub revision: Revision,
-    /// What is new.
+    /// The changes or the full state that the follower is missing.
     pub content: Content,
 }
 
-/// Packs events or items.
+/// Serializes events or items, and deflates them from [`MIN_DEFLATED_BYTES`] on.
 pub fn pack<T: Serialize>(value: &T) -> Packed {
     let plain = encode(value);
-    if plain.len() < WORTH_DEFLATING {
+    if plain.len() < MIN_DEFLATED_BYTES {
         return Packed {
             deflated: false,
             bytes: plain.into(),
@@ -103,17 +103,17 @@
         }
         let mut plain = Vec::new();
         DeflateDecoder::new(&*self.bytes)
-            .take(LONGEST_PAYLOAD)
+            .take(MAX_PAYLOAD_BYTES)
             .read_to_end(&mut plain)?;
         decode(&plain)
     }
 
-    /// The packed items.
+    /// Decodes the payload as items; fails if it is too large or malformed.
     pub fn items(&self) -> io::Result<Vec<Item>> {
         self.unpack()
     }
 
-    /// The packed events.
+    /// Decodes the payload as events; fails if it is too large or malformed.
     pub fn events(&self) -> io::Result<Vec<Event>> {
         self.unpack()
     }
@@ -127,7 +127,7 @@
     rmp_serde::from_slice(bytes).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
 }
 
-/// Writes one frame.
+/// Writes one length-prefixed message and flushes the stream.
 pub async fn write<T: Serialize>(
     stream: &mut (impl AsyncWrite + Unpin),
     value: &T,
@@ -140,10 +140,10 @@
     stream.flush().await
 }
 
-/// Reads one frame.
+/// Reads one length-prefixed message; fails if it is too large or malformed.
 pub async fn read<T: DeserializeOwned>(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<T> {
     let length = stream.read_u32().await?;
-    if length > LONGEST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut body = vec![0; length as usize];
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -1,23 +1,22 @@
-//! The feed: every node's copy of what the store holds, kept current with few
-//! calls to the store.
+//! The feed: keeps every node's copy of the store current with few calls to the store.
 //!
-//! Nodes form a tree, computed by each node from the peers that it hears. The
-//! root follows the store by watch; every other node follows its parent over one
-//! stream, and passes on what comes. Each frame says how old the knowledge in
-//! it is, so a node knows at any moment for how long it may have missed a
-//! change; before that grows too long it asks the store itself. A wrong or
-//! missing parent thus costs calls to the store, never a bound.
+//! Nodes form a tree, which each node computes from the peers that it has seen. The
+//! root watches the store; every other node follows its parent over one stream and
+//! passes changes on to its own followers. Each frame carries the age of the sender's
+//! copy, so a node knows at any moment for how long it may have missed a change. Before
+//! that time reaches its limit, the node asks the store itself. A wrong or missing
+//! parent thus costs additional calls to the store but never breaks a bound.
 
-mod age;
-mod asker;
+mod call_schedule;
 mod copy;
-mod follow;
 mod follower;
 mod frame;
-mod patience;
+mod parent_stream;
 mod poll;
 mod serve;
+mod staleness;
 mod state;
+mod store_reader;
 mod task;
 mod times;
 mod tree;
--- a/crates/gateway/src/feed/follow_tests.rs
+++ b/crates/gateway/src/feed/parent_stream_tests.rs
@@ -18,8 +18,8 @@
     }
 }
 
-/// A node that stands still between its hello and the reading of the first frame
-/// must not take that frame for new.
+/// Guards against taking the first frame for new when the node freezes between sending
+/// its hello and reading that frame.
 #[tokio::test(start_paused = true)]
 async fn a_first_frame_that_is_read_late_is_old() {
     let hello_at = Instant::now();
--- a/crates/gateway/src/feed/poll.rs
+++ b/crates/gateway/src/feed/poll.rs
@@ -1,4 +1,5 @@
-//! Calls of the feed to the store: everything, or what has changed.
+//! The feed's calls to the store: full reads, reads of the members, and polls for
+//! changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,24 +7,26 @@
 use barleyspar_catalog::{Item, Revision, StoreAnswer, StoreCall, StoreError};
 use tokio::time::Instant;
 
-use crate::feed::state::News;
+use crate::feed::state::Update;
 use crate::register::MEMBER_PREFIX;
 use crate::store::Store;
 
-/// What the store answered.
-pub struct Reading {
-    /// Everything that it holds, or what has changed.
-    pub news: News,
-    /// The store's revision; of a whole reading, one from which to follow changes.
+/// The result of reading the store.
+pub struct StoreRead {
+    /// The full state of the store, or the changes since a revision.
+    pub update: Update,
+    /// The store's revision that the update leads to. For a full read it is the
+    /// revision of the first page, from which changes are to be followed.
     pub revision: Revision,
-    /// When the first call was sent.
-    pub asked: Instant,
+    /// When the first call was sent; the update is complete as of this time.
+    pub asked_at: Instant,
 }
 
-/// Reads all items, waiting for each page for `patience` at most. A reading over which the
-/// store came back from a copy shows neither what was nor what is.
-pub async fn read_everything(store: &Store, patience: Duration) -> Result<Reading, StoreError> {
-    let asked = Instant::now();
+/// Reads all items, page by page, waiting for each page for at most `answer_timeout`.
+/// Fails with [`StoreError::HistoryLost`] if the store is restored from a backup
+/// between two pages, since these would mix two eras.
+pub async fn read_all(store: &Store, answer_timeout: Duration) -> Result<StoreRead, StoreError> {
+    let asked_at = Instant::now();
     let mut items: BTreeMap<String, Item> = BTreeMap::new();
     let mut after = None;
     let mut first_revision = None;
@@ -37,11 +40,12 @@
             items: page,
             more,
             revision,
-        } = store.call(&call, patience).await?
+        } = store.call(&call, answer_timeout).await?
         else {
             return Err(StoreError::Malformed("no page".to_owned()));
         };
-        // Pages form no snapshot: what changed meanwhile comes again as an event.
+        // The pages are no consistent snapshot: changes made during the read are
+        // delivered again as events after the first page's revision.
         let first = *first_revision.get_or_insert(revision);
         if first.era != revision.era {
             return Err(StoreError::HistoryLost);
@@ -49,52 +53,56 @@
         after = page.last().map(|item| item.key.clone());
         items.extend(page.into_iter().map(|item| (item.key.clone(), item)));
         if !more || after.is_none() {
-            return Ok(Reading {
-                news: News::Everything(items.into_values().collect()),
+            return Ok(StoreRead {
+                update: Update::Everything(items.into_values().collect()),
                 revision: first,
-                asked,
+                asked_at,
             });
         }
     }
 }
 
-/// Reads the members' entries, which may be seconds old: enough to know whom to
-/// follow.
-pub async fn read_members(store: &Store, patience: Duration) -> Result<Vec<Item>, StoreError> {
+/// Reads the members' entries, which may be seconds old: that is enough to choose a
+/// parent.
+pub async fn read_members(
+    store: &Store,
+    answer_timeout: Duration,
+) -> Result<Vec<Item>, StoreError> {
     let call = StoreCall::Range {
         prefix: MEMBER_PREFIX.to_owned(),
         after: None,
         stale: true,
     };
-    match store.call(&call, patience).await? {
+    match store.call(&call, answer_timeout).await? {
         StoreAnswer::Page { items, .. } => Ok(items),
         _ => Err(StoreError::Malformed("no page".to_owned())),
     }
 }
 
-/// Waits up to `wait` for changes after `revision`, and `patience` longer for
-/// the answer to arrive. The history is lost once the store is in another era.
+/// Polls for changes after `revision`. The store holds the poll for up to `wait`; the
+/// answer may take `answer_timeout` longer. Fails with [`StoreError::HistoryLost`] once
+/// the store is in another era.
 pub async fn read_changes(
     store: &Store,
     revision: Revision,
     wait: Duration,
-    patience: Duration,
-) -> Result<Reading, StoreError> {
-    let asked = Instant::now();
+    answer_timeout: Duration,
+) -> Result<StoreRead, StoreError> {
+    let asked_at = Instant::now();
     let call = StoreCall::Watch {
         prefix: String::new(),
         after: revision,
         wait,
     };
-    match store.call(&call, wait + patience).await? {
-        // A later era gave out the same numbers for other changes.
+    match store.call(&call, wait + answer_timeout).await? {
+        // Revision numbers of a later era stand for other changes.
         StoreAnswer::Events { revision: now, .. } if now.era != revision.era => {
             Err(StoreError::HistoryLost)
         }
-        StoreAnswer::Events { events, revision } => Ok(Reading {
-            news: News::Events(events),
+        StoreAnswer::Events { events, revision } => Ok(StoreRead {
+            update: Update::Events(events),
             revision,
-            asked,
+            asked_at,
         }),
         _ => Err(StoreError::Malformed("no events".to_owned())),
     }
--- a/crates/gateway/src/feed/serve.rs
+++ b/crates/gateway/src/feed/serve.rs
@@ -1,4 +1,4 @@
-//! Passes the feed on to followers.
+//! The serving side of the feed: sends frames to followers.
 
 use std::io;
 use std::time::Duration;
@@ -11,36 +11,36 @@
 use crate::feed::state::{FeedState, Missing};
 use crate::network::{ByteStream, Listener};
 
-/// Followers at once; others connect elsewhere or ask the store.
-const MOST_FOLLOWERS: usize = 64;
-/// Time for a follower to say what it knows.
+/// Maximum number of followers; others connect to another node or ask the store.
+const MAX_FOLLOWERS: usize = 64;
+/// Time limit for a follower to send its hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for a frame to be taken by the connection.
+/// Time limit for writing one frame to a follower.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection that could not be taken.
+/// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes followers until the process ends.
+/// Accepts followers and sends them the feed from `state` until the process ends.
 pub async fn serve(listener: Box<dyn Listener>, state: watch::Receiver<FeedState>) {
-    let places = std::sync::Arc::new(tokio::sync::Semaphore::new(MOST_FOLLOWERS));
+    let slots = std::sync::Arc::new(tokio::sync::Semaphore::new(MAX_FOLLOWERS));
     loop {
         let Ok(stream) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(slot) = slots.clone().try_acquire_owned() else {
             continue;
         };
         let state = state.clone();
         crate::tasks::spawn(async move {
-            // A follower may leave at any time.
-            let _ = feed(stream, state).await;
-            drop(place);
+            // A follower may disconnect at any time.
+            let _ = serve_follower(stream, state).await;
+            drop(slot);
         });
     }
 }
 
-async fn feed(
+async fn serve_follower(
     mut stream: Box<dyn ByteStream>,
     mut state: watch::Receiver<FeedState>,
 ) -> io::Result<()> {
@@ -58,23 +58,24 @@
             changed = state.changed() => if changed.is_err() {
                 return Ok(());
             },
-            // Followers say nothing more; what comes is their end.
+            // Followers send nothing after the hello; whatever is read is the end of
+            // the connection.
             _ = tokio::io::AsyncReadExt::read(&mut stream, &mut byte) => return Ok(()),
         }
     }
 }
 
-/// Milliseconds, rounded up: knowledge must not grow younger on its way.
-fn whole_milliseconds(age: Duration) -> u32 {
+/// Milliseconds, rounded up: a copy must not look younger after it was sent on.
+fn milliseconds_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
 
-/// What a follower with `revision`, whose hello came at `hello_at`, is told; nothing
-/// while nothing is known.
+/// Returns the next frame for a follower that has `revision` and whose hello arrived at
+/// `hello_at`; `None` while this node's copy is empty.
 fn next_frame(state: &FeedState, revision: Revision, hello_at: Instant) -> Option<Frame> {
     let now = Instant::now();
     let age = state.age(now)?;
-    let content = match state.missing(revision) {
+    let content = match state.missing_since(revision) {
         Missing::Everything(packed) => Content::Everything(packed),
         Missing::Batches(batches) => {
             Content::Events(batches.iter().map(|batch| batch.packed()).collect())
@@ -82,7 +83,7 @@
     };
     Some(Frame {
         since_hello_ms: (now - hello_at).as_millis() as u64,
-        age_ms: whole_milliseconds(age),
+        age_ms: milliseconds_rounded_up(age),
         depth: state.depth(),
         revision: state.revision().max(revision),
         content,
--- a/crates/gateway/src/feed/state.rs
+++ b/crates/gateway/src/feed/state.rs
@@ -1,4 +1,4 @@
-//! A node's copy of the store, and the changes that led to it.
+//! The content of a node's copy of the store, and the recent changes that led to it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, OnceLock};
@@ -11,71 +11,74 @@
 use crate::feed::frame::{Packed, pack};
 use crate::feed::times::FeedTimes;
 
-/// Batches that are kept for followers; one that is further behind gets everything.
+/// Batches of changes kept for followers; a follower that is further behind gets the
+/// full state.
 const KEPT_BATCHES: usize = 64;
-/// Changes that are kept for followers in all batches: a sixth of what ten thousand
-/// runners take. Everything costs a follower that lacks more about as much.
+/// Changes kept for followers over all batches: a sixth of what ten thousand runners
+/// need in the full state. For a follower that misses more, the full state costs about
+/// as much.
 const KEPT_EVENTS: usize = 2048;
 
-/// Most steps from the store's watcher. Each step's time on the way makes
-/// knowledge look a little younger than it is; nodes that came to follow each
-/// other would keep theirs young for ever.
-const DEEPEST: u32 = 6;
+/// Maximum number of steps from the node that watches the store. Each step's transfer
+/// time makes the copy look a little younger than it is; without this limit, nodes that
+/// follow each other in a circle would keep theirs young for ever.
+const MAX_DEPTH: u32 = 6;
 
-/// What the store, or a peer that knows more, has told.
+/// An update of the copy, from the store or a peer.
 #[derive(Debug)]
-pub enum News {
-    /// Everything there is.
+pub enum Update {
+    /// The full state, which replaces the copy.
     Everything(Vec<Item>),
-    /// What has changed, in order.
+    /// Changes, in the store's order.
     Events(Vec<Event>),
 }
 
-/// What the feed tells the node's other parts.
+/// A notification from the feed to the other parts of the node.
 #[derive(Debug, PartialEq)]
 pub enum Change {
-    /// Everything there is, read anew in this era of the store.
+    /// The full state, read anew, and the store's era in which it was read.
     Everything(Vec<Item>, u32),
     /// One change.
     Event(Event),
-    /// All changes before this moment have been told.
+    /// All changes before this time have been sent.
     CompleteAt(Instant),
 }
 
-/// Changes in the store's order, as they go to followers.
+/// Consecutive changes in the store's order, as they are sent to followers.
 #[derive(Debug)]
 pub struct Batch {
-    /// The store's revision after the last of them.
+    /// The store's revision after the last change of the batch.
     pub to: Revision,
     events: Vec<Event>,
     packed: OnceLock<Packed>,
 }
 
 impl Batch {
-    /// The changes, ready for the wire; packed once, and only by nodes that
-    /// have followers.
+    /// The changes in wire format; encoded on first use, so only by nodes that have
+    /// followers.
     pub fn packed(&self) -> Packed {
         self.packed.get_or_init(|| pack(&self.events)).clone()
     }
 }
 
-/// What a follower lacks.
+/// What a follower needs to become current.
 #[derive(Debug)]
 pub enum Missing {
-    /// These batches, in order; none if it lacks nothing.
+    /// These batches, in order; empty if the follower is current.
     Batches(Vec<Arc<Batch>>),
-    /// Everything, ready for the wire.
+    /// The full state, in wire format.
     Everything(Packed),
 }
 
-/// An item as it is kept: as small as it gets, since every node keeps all.
+/// A stored item without its key, in as little memory as possible, since every node
+/// holds all items.
 #[derive(Debug)]
-struct Kept {
+struct StoredItem {
     value: Box<[u8]>,
     revision: Revision,
 }
 
-impl Kept {
+impl StoredItem {
     fn of(item: &Item) -> Self {
         Self {
             value: item.value.as_ref().into(),
@@ -84,23 +87,24 @@
     }
 }
 
-/// An [`Item`] on the wire, without a copy of it.
+/// A borrowed [`Item`], serialized in the same format.
 #[derive(Serialize)]
-struct PackedItem<'a> {
+struct BorrowedItem<'a> {
     key: &'a str,
     #[serde(with = "serde_bytes")]
     value: &'a [u8],
     revision: Revision,
 }
 
-/// A copy of the store, complete up to a revision and as of a moment.
+/// A copy of the store, complete up to a revision and as of a known time.
 #[derive(Debug, Default)]
 pub struct FeedState {
-    items: BTreeMap<Box<str>, Kept>,
-    /// All items for the wire, packed when a follower first asks for them.
-    whole: OnceLock<Packed>,
+    items: BTreeMap<Box<str>, StoredItem>,
+    /// All items in wire format, encoded when a follower first needs them; empty after
+    /// a change.
+    packed_items: OnceLock<Packed>,
     batches: VecDeque<Arc<Batch>>,
-    /// The revision from which the batches show all changes.
+    /// The revision from which on the batches hold all changes.
     batches_from: Revision,
     revision: Revision,
     complete_at: Option<Instant>,
@@ -108,96 +112,101 @@
 }
 
 impl FeedState {
-    /// The store's revision that the copy shows; the first of all while nothing is known.
+    /// The store's revision that the copy shows; the default revision while the copy is
+    /// empty.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Whether there is an item under `key`.
-    pub fn has(&self, key: &str) -> bool {
+    /// Whether the store has an item under `key`, as far as the copy shows.
+    pub fn has_key(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
 
-    /// Whether anything is known.
-    pub fn is_known(&self) -> bool {
+    /// Whether the copy has been filled from the store or a peer at least once.
+    pub fn has_data(&self) -> bool {
         self.revision > Revision::default()
     }
 
-    /// Steps between this node and the store's watcher.
+    /// Steps between this node and the node that watches the store; 0 if the store
+    /// itself answered last.
     pub fn depth(&self) -> u32 {
         self.depth
     }
 
-    /// Time since which changes may have been missed; `None` while nothing is known.
+    /// Time for which changes may have been missed; `None` while the copy was never
+    /// confirmed.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.complete_at.map(|at| now.saturating_duration_since(at))
     }
 
     /// Whether the copy is too old at `now` to rely on a parent.
-    pub fn is_overdue(&self, times: &FeedTimes, now: Instant) -> bool {
+    pub fn is_stale(&self, times: &FeedTimes, now: Instant) -> bool {
         self.age(now)
-            .is_none_or(|age| age >= times.longest_age(self.depth))
+            .is_none_or(|age| age >= times.max_age(self.depth))
     }
 
-    /// When the copy becomes too old to rely on a parent; `now` if it is.
-    pub fn deadline(&self, times: &FeedTimes, now: Instant) -> Instant {
+    /// Returns when the copy becomes too old to rely on a parent; `now` if it already
+    /// is.
+    pub fn stale_at(&self, times: &FeedTimes, now: Instant) -> Instant {
         self.age(now).map_or(now, |age| {
-            now + times.longest_age(self.depth).saturating_sub(age)
+            now + times.max_age(self.depth).saturating_sub(age)
         })
     }
 
-    /// Takes in a whole copy, complete at `complete_at`. Whether it is newer
-    /// than what was known.
-    pub fn take_everything(&mut self, items: &[Item], revision: Revision) -> bool {
+    /// Replaces the copy by the full state at `revision`. Returns false and changes
+    /// nothing if the copy is at least as new.
+    pub fn replace_all(&mut self, items: &[Item], revision: Revision) -> bool {
         if revision <= self.revision {
             return false;
         }
         self.items = items
             .iter()
-            .map(|item| (item.key.as_str().into(), Kept::of(item)))
+            .map(|item| (item.key.as_str().into(), StoredItem::of(item)))
             .collect();
-        self.whole = OnceLock::new();
+        self.packed_items = OnceLock::new();
         self.batches.clear();
         self.batches_from = revision;
         self.revision = revision;
         true
     }
 
-    /// Takes in changes up to `revision`; those that were not known before.
-    pub fn take_events(&mut self, events: Vec<Event>, revision: Revision) -> Vec<Event> {
-        let news: Vec<Event> = events
+    /// Applies changes up to `revision`, and returns those that were not known before.
+    pub fn apply_events(&mut self, events: Vec<Event>, revision: Revision) -> Vec<Event> {
+        let new_events: Vec<Event> = events
             .into_iter()
-            .filter(|event| self.is_news(event))
+            .filter(|event| self.is_new(event))
             .collect();
-        for event in &news {
-            self.apply(event);
+        for event in &new_events {
+            self.apply_event(event);
         }
         self.revision = self.revision.max(revision);
-        if !news.is_empty() {
-            self.whole = OnceLock::new();
+        if !new_events.is_empty() {
+            self.packed_items = OnceLock::new();
             self.batches.push_back(Arc::new(Batch {
                 to: self.revision,
-                events: news.clone(),
+                events: new_events.clone(),
                 packed: OnceLock::new(),
             }));
         }
-        while self.batches.len() > KEPT_BATCHES || self.batched() > KEPT_EVENTS {
+        while self.batches.len() > KEPT_BATCHES || self.batched_events() > KEPT_EVENTS {
             let Some(oldest) = self.batches.pop_front() else {
                 break;
             };
             self.batches_from = oldest.to;
         }
-        news
+        new_events
     }
 
-    /// Changes in the batches.
-    fn batched(&self) -> usize {
+    /// Number of changes in all batches.
+    fn batched_events(&self) -> usize {
         self.batches.iter().map(|batch| batch.events.len()).sum()
     }
 
-    /// Whether the event is later than all that is known of its key. Pages of
-    /// one reading form no snapshot, so an item may be ahead of the revision.
-    fn is_news(&self, event: &Event) -> bool {
+    /// Whether the event is later than the copy's item under the same key. The pages of
+    /// a full read are no consistent snapshot, so an item may be newer than the copy's
+    /// revision.
+    fn is_new(&self, event: &Event) -> bool {
         let (key, revision) = match event {
             Event::Written(item) => (&item.key, item.revision),
             Event::Removed { key, revision } => (key, *revision),
@@ -206,11 +215,13 @@
         revision > self.revision && Some(revision) > known
     }
 
-    /// Notes that the copy with `revision` was complete at `at`, as known over
-    /// `depth` steps. Whether that is newer than what was known.
+    /// Records that the store's state at `revision` was complete as of `at`, as learnt
+    /// over `depth` steps. Returns false and changes nothing unless that is later than
+    /// the last confirmation, the copy has no newer revision, and `depth` is within
+    /// [`MAX_DEPTH`].
     pub fn confirm(&mut self, revision: Revision, at: Instant, depth: u32) -> bool {
-        let older = self.complete_at.is_some_and(|known| known >= at);
-        if revision < self.revision || older || depth > DEEPEST {
+        let is_older = self.complete_at.is_some_and(|known| known >= at);
+        if revision < self.revision || is_older || depth > MAX_DEPTH {
             return false;
         }
         self.complete_at = Some(at);
@@ -218,11 +229,11 @@
         true
     }
 
-    /// What a copy with `revision` lacks of this one.
-    pub fn missing(&self, revision: Revision) -> Missing {
+    /// Returns what a copy at `revision` needs to reach this one.
+    pub fn missing_since(&self, revision: Revision) -> Missing {
         if revision < self.batches_from {
-            let pack_all = || pack(&self.packed_items());
-            return Missing::Everything(self.whole.get_or_init(pack_all).clone());
+            let pack_all = || pack(&self.borrowed_items());
+            return Missing::Everything(self.packed_items.get_or_init(pack_all).clone());
         }
         Missing::Batches(
             self.batches
@@ -233,22 +244,22 @@
         )
     }
 
-    fn packed_items(&self) -> Vec<PackedItem<'_>> {
+    fn borrowed_items(&self) -> Vec<BorrowedItem<'_>> {
         self.items
             .iter()
-            .map(|(key, kept)| PackedItem {
+            .map(|(key, stored)| BorrowedItem {
                 key,
-                value: &kept.value,
-                revision: kept.revision,
+                value: &stored.value,
+                revision: stored.revision,
             })
             .collect()
     }
 
-    fn apply(&mut self, event: &Event) {
+    fn apply_event(&mut self, event: &Event) {
         match event {
             Event::Written(item) => {
                 let key = item.key.as_str().into();
-                self.items.insert(key, Kept::of(item));
+                self.items.insert(key, StoredItem::of(item));
             }
             Event::Removed { key, .. } => {
                 self.items.remove(key.as_str());
--- a/crates/gateway/src/feed/task.rs
+++ b/crates/gateway/src/feed/task.rs
@@ -1,5 +1,5 @@
-//! The task that keeps this node's copy current: it follows a peer and, at the
-//! same time, asks the store where that is not enough.
+//! The task that keeps this node's copy current: it follows a peer and, concurrently,
+//! calls the store where that is not enough.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,35 +9,36 @@
 use tokio::time::timeout;
 
 use crate::context::Context;
-use crate::feed::age::tell_of_age;
-use crate::feed::asker::Asker;
 use crate::feed::copy::FeedCopy;
 use crate::feed::follower::Follower;
 use crate::feed::poll::read_members;
+use crate::feed::staleness::report_staleness;
 use crate::feed::state::{Change, FeedState};
+use crate::feed::store_reader::StoreReader;
 use crate::peers::Heard;
 use crate::store::Store;
 
-/// Time for the members' entries to come, at the start.
-const MEMBERS_PATIENCE: Duration = Duration::from_millis(250);
-/// Time for these to reach the list of peers heard.
-const MEMBERS_TAKEN_IN: Duration = Duration::from_millis(20);
+/// Time limit for reading the members' entries at the start.
+const MEMBERS_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time limit for these entries to reach the list of peers.
+const MEMBERS_APPLY_TIME: Duration = Duration::from_millis(20);
 
-/// The task.
+/// Keeps this node's copy of the store current.
 pub struct FeedTask {
     context: Context,
     store: Store,
-    heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
     copy: FeedCopy,
 }
 
 impl FeedTask {
-    /// A task that keeps `state` current and tells `changes` what is new; nothing
-    /// else uses `store`.
+    /// Creates a task that keeps `state` current and sends what is new to `changes`.
+    /// `store` must be used by nothing else; `seen_peers` is the list of peers to
+    /// follow.
     pub fn new(
         context: Context,
         store: Store,
-        heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+        seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
         state: watch::Sender<FeedState>,
         changes: mpsc::Sender<Change>,
     ) -> Self {
@@ -45,40 +46,48 @@
         Self {
             context,
             store,
-            heard,
+            seen_peers,
             copy,
         }
     }
 
-    /// Runs until nobody listens any more.
+    /// Runs until nobody receives changes any more.
     pub async fn run(mut self) {
-        self.learn_members().await;
+        self.load_members().await;
         let copy = &self.copy;
-        let (says_watch, watches) = watch::channel(false);
-        let (says_unserved, unserved) = watch::channel(false);
-        let asker = Asker::new(copy, self.store, watches, says_unserved);
-        let follower = Follower::new(copy, &self.context, self.heard, says_watch, unserved);
+        let (is_watcher_sender, is_watcher) = watch::channel(false);
+        let (unreachable_sender, unreachable) = watch::channel(false);
+        let reader = StoreReader::new(copy, self.store, is_watcher, unreachable_sender);
+        let follower = Follower::new(
+            copy,
+            &self.context,
+            self.seen_peers,
+            is_watcher_sender,
+            unreachable,
+        );
         let metrics = self.context.metrics.clone();
         tokio::select! {
             () = copy.closed() => {}
-            () = asker.run() => {}
+            () = reader.run() => {}
             () = follower.run() => {}
-            () = tell_of_age(copy.subscribe(), copy.times, metrics) => {}
+            () = report_staleness(copy.subscribe(), copy.times, metrics) => {}
         }
     }
 
-    /// Learns from the store who else is there, to ask them for the rest.
-    async fn learn_members(&mut self) {
-        // A failure is logged by the store's client; then the store is asked
-        // for everything.
-        let Ok(items) = read_members(&self.store, MEMBERS_PATIENCE).await else {
+    /// Reads the members' entries from the store, so that the full state can be read
+    /// from one of them.
+    async fn load_members(&mut self) {
+        // The store client logs the failure; the full state is then read from the
+        // store.
+        let Ok(items) = read_members(&self.store, MEMBERS_TIMEOUT).await else {
             return;
         };
-        let any = !items.is_empty();
-        self.copy.tell_entries(items).await;
-        if any {
-            // Nothing new within that time: all members were known.
-            let _ = timeout(MEMBERS_TAKEN_IN, self.heard.changed()).await;
+        let has_members = !items.is_empty();
+        self.copy.publish_entries(items).await;
+        if has_members {
+            // No change within that time means that all members were already in the
+            // list.
+            let _ = timeout(MEMBERS_APPLY_TIME, self.seen_peers.changed()).await;
         }
     }
 }
--- a/crates/gateway/src/feed/times.rs
+++ b/crates/gateway/src/feed/times.rs
@@ -1,64 +1,67 @@
-//! How old a node's knowledge may grow, from the bounds that the site promises.
+//! Time limits of the feed, derived from the site's bounds.
 
 use std::time::Duration;
 
 use barleyspar_catalog::Bounds;
 
-/// Parts of the shortest bound within which a change must have effect.
-const POLL_PART: f64 = 0.2;
-const BATCH_PART: f64 = 0.1;
-const AGE_PART: f64 = 0.55;
-const STEP_PART: f64 = 0.05;
-/// A store that was silent is asked again within this part of the bound after it
-/// serves again, which leaves as much for its answer and the way to followers.
-const ASK_PART: f64 = 0.5;
-/// Most answers take a few milliseconds, those of a slow store a tenth of the
-/// shortest bound.
-const UNSERVED_PART: f64 = 0.15;
-/// A peer that knows more says so in its first frame, milliseconds after the
-/// hello; one of eight is found within two bounds.
-const TRIAL_PART: f64 = 0.25;
-/// Steps that count; trees of more nodes than these carry are not planned for.
-const MOST_STEPS: u32 = 4;
+/// Fractions of the shortest bound within which a change must take effect.
+const POLL_FRACTION: f64 = 0.2;
+const BATCH_FRACTION: f64 = 0.1;
+const AGE_FRACTION: f64 = 0.55;
+const STEP_FRACTION: f64 = 0.05;
+/// After an unresponsive store is back, it is called within this fraction of the bound,
+/// which leaves as much for its answer and for sending it to followers.
+const CALL_FRACTION: f64 = 0.5;
+/// Most answers take a few milliseconds, those of a slow store a tenth of the shortest
+/// bound.
+const UNREACHABLE_FRACTION: f64 = 0.15;
+/// A peer with a newer copy shows it in its first frame, milliseconds after the hello;
+/// with this fraction one such peer out of eight is found within two bounds.
+const TRIAL_FRACTION: f64 = 0.25;
+/// Maximum depth for which [`FeedTimes::max_age`] grows; trees with more nodes than fit
+/// in this depth are not planned for.
+const MAX_COUNTED_DEPTH: u32 = 4;
 
-/// Times of the feed.
+/// Time limits of the feed at one site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FeedTimes {
-    /// Longest time that the store holds a poll. Knowledge is up to twice as
-    /// old before the next poll's answer.
+    /// Maximum time for which the store holds a poll. The copy is up to twice as old
+    /// before the next poll's answer.
     pub poll: Duration,
-    /// Pause between polls that had changes, so that these come in batches.
+    /// Pause after a poll that returned changes, so that the next ones come in batches.
     pub batch_pause: Duration,
-    /// Time between calls to a store that does not answer.
-    pub ask_period: Duration,
-    /// Time without the store's answer after which peers are asked besides.
-    pub unserved_after: Duration,
-    /// Time for a peer to show newer knowledge when the store does not serve us.
+    /// Time between calls while the store does not answer.
+    pub call_period: Duration,
+    /// Time without an answer of the store after which it counts as unreachable and
+    /// peers are asked too.
+    pub unreachable_after: Duration,
+    /// Time for a peer to show a newer copy while the store is unreachable from this
+    /// node.
     pub peer_trial: Duration,
     age: Duration,
     step: Duration,
 }
 
 impl FeedTimes {
-    /// The times for a site's bounds.
+    /// Derives the times from the shortest of the site's bounds on taking over changes.
     pub fn new(bounds: &Bounds) -> Self {
         let bound = bounds.change_in_force.min(bounds.drain_timeout);
         let bound = bounds.evacuation.map_or(bound, |time| bound.min(time));
         Self {
-            poll: bound.mul_f64(POLL_PART),
-            batch_pause: bound.mul_f64(BATCH_PART),
-            ask_period: bound.mul_f64(ASK_PART),
-            unserved_after: bound.mul_f64(UNSERVED_PART),
-            peer_trial: bound.mul_f64(TRIAL_PART),
-            age: bound.mul_f64(AGE_PART),
-            step: bound.mul_f64(STEP_PART),
+            poll: bound.mul_f64(POLL_FRACTION),
+            batch_pause: bound.mul_f64(BATCH_FRACTION),
+            call_period: bound.mul_f64(CALL_FRACTION),
+            unreachable_after: bound.mul_f64(UNREACHABLE_FRACTION),
+            peer_trial: bound.mul_f64(TRIAL_FRACTION),
+            age: bound.mul_f64(AGE_FRACTION),
+            step: bound.mul_f64(STEP_FRACTION),
         }
     }
 
-    /// Age of knowledge from which on a node `depth` steps from the store's
-    /// watcher asks the store itself: nearer ones first, so that the others
-    /// hear of the answer.
-    pub fn longest_age(&self, depth: u32) -> Duration {
-        self.age + self.step * depth.min(MOST_STEPS)
+    /// Maximum age of the copy of a node that is `depth` steps from the store's
+    /// watcher; from then on the node calls the store itself. It grows with the depth,
+    /// so that nearer nodes call first and the others receive the answer from them.
+    pub fn max_age(&self, depth: u32) -> Duration {
+        self.age + self.step * depth.min(MAX_COUNTED_DEPTH)
     }
 }
--- a/crates/gateway/src/feed/tree.rs
+++ b/crates/gateway/src/feed/tree.rs
@@ -1,9 +1,9 @@
-//! Who follows whom: pure functions of the peers that a node hears.
+//! Computes the feed tree from the peers that a node has seen, with pure functions.
 //!
-//! The first node of each zone follows one of another zone, the others one of
-//! their own: what changes goes to each zone once. A parent always stands before
-//! its followers in one order that all nodes agree on, so nodes that hear
-//! different peers still form no circle.
+//! The first node of each zone follows a node of another zone, the others follow one of
+//! their own zone, so each change is sent to each zone once. A parent always precedes
+//! its followers in an order that all nodes agree on, so nodes that see different peers
+//! still form no cycle.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -16,32 +16,33 @@
 
 use crate::peers::Heard;
 
-/// Followers of one node in its zone; as many zones' first nodes may follow it
-/// besides. Twelve frames a change are a percent of the smallest machine.
+/// Maximum number of followers of a node in its own zone; as many first nodes of other
+/// zones may follow it too. Sending twelve frames per change takes a percent of the
+/// smallest machine.
 pub const FANOUT: usize = 12;
 
 /// A node to follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parent {
-    /// Its name.
+    /// The parent's name.
     pub name: Arc<str>,
-    /// Where it takes followers.
+    /// The address on which the parent accepts followers.
     pub address: SocketAddr,
 }
 
-/// This node, as it stands in the order.
+/// This node's attributes that determine its place in the order.
 #[derive(Debug, Clone)]
 pub struct Myself {
-    /// Its name.
+    /// This node's name.
     pub name: Arc<str>,
-    /// Megabits a second of its link.
+    /// Speed of this node's link in megabits per second.
     pub capacity: u32,
-    /// Its zone.
+    /// This node's zone.
     pub zone: Arc<str>,
 }
 
 impl Myself {
-    /// The node with these settings.
+    /// The attributes from this node's settings.
     pub fn of(settings: &NodeSettings) -> Self {
         Self {
             name: settings.name.clone(),
@@ -51,49 +52,50 @@
     }
 }
 
-/// Place in the order: machines with a faster link first, then by a hash.
-type Place = (Reverse<u32>, u64);
+/// Sort key of a node: faster links first, then by a hash of the name.
+type OrderKey = (Reverse<u32>, u64);
 
-fn place(name: &str, capacity: u32) -> Place {
+fn order_key(name: &str, capacity: u32) -> OrderKey {
     (Reverse(capacity), barleyspar_domain::rank("feed", name))
 }
 
-/// Peers heard within `silence` that stand before this node in the order.
+/// Returns the peers seen within `max_silence` that precede this node in the order,
+/// without those that `is_avoided` rejects.
 fn peers_before<'a>(
     myself: &Myself,
-    heard: &'a HashMap<Arc<str>, Heard>,
-    silence: Duration,
-    avoided: impl Fn(&str) -> bool,
-) -> Vec<(Place, &'a Arc<str>, &'a Heard)> {
-    let own = place(&myself.name, myself.capacity);
-    heard
+    peers: &'a HashMap<Arc<str>, Heard>,
+    max_silence: Duration,
+    is_avoided: impl Fn(&str) -> bool,
+) -> Vec<(OrderKey, &'a Arc<str>, &'a Heard)> {
+    let own = order_key(&myself.name, myself.capacity);
+    peers
         .iter()
-        .filter(|(name, peer)| peer.at.elapsed() < silence && !avoided(name))
-        .map(|(name, peer)| (place(name, peer.capacity), name, peer))
+        .filter(|(name, peer)| peer.at.elapsed() < max_silence && !is_avoided(name))
+        .map(|(name, peer)| (order_key(name, peer.capacity), name, peer))
         .filter(|(peer, _, _)| *peer < own)
         .collect()
 }
 
-/// How many peers heard within `silence` stand before this node: machines with
-/// a faster link, which have more of everything as a rule, stand first.
-pub fn position(myself: &Myself, heard: &HashMap<Arc<str>, Heard>, silence: Duration) -> usize {
-    peers_before(myself, heard, silence, |_| false).len()
+/// Returns how many of the peers seen within `max_silence` precede this node. Machines
+/// with a faster link, which usually have more of the other resources too, come first.
+pub fn position(myself: &Myself, peers: &HashMap<Arc<str>, Heard>, max_silence: Duration) -> usize {
+    peers_before(myself, peers, max_silence, |_| false).len()
 }
 
-/// The peer to follow, or `None` if this node is to follow the store. Peers not
-/// heard for `silence` and those that `avoided` names do not count.
+/// Returns the peer to follow, or `None` if this node is to watch the store. Ignores
+/// peers not seen for `max_silence` and those that `is_avoided` rejects.
 pub fn parent(
     myself: &Myself,
-    heard: &HashMap<Arc<str>, Heard>,
-    silence: Duration,
-    avoided: impl Fn(&str) -> bool,
+    peers: &HashMap<Arc<str>, Heard>,
+    max_silence: Duration,
+    is_avoided: impl Fn(&str) -> bool,
 ) -> Option<Parent> {
-    let before = peers_before(myself, heard, silence, avoided);
+    let before = peers_before(myself, peers, max_silence, is_avoided);
     let (near, far): (Vec<_>, Vec<_>) = before
         .into_iter()
         .partition(|(_, _, peer)| peer.zone == myself.zone);
     let mut candidates = if near.is_empty() {
-        firsts_of_zones(far)
+        first_of_each_zone(far)
     } else {
         near
     };
@@ -105,11 +107,11 @@
     })
 }
 
-/// The first of each zone among `peers`.
-fn firsts_of_zones<'a>(
-    peers: Vec<(Place, &'a Arc<str>, &'a Heard)>,
-) -> Vec<(Place, &'a Arc<str>, &'a Heard)> {
-    let mut firsts: HashMap<&str, (Place, &Arc<str>, &Heard)> = HashMap::new();
+/// Returns the first node of each zone among `peers`.
+fn first_of_each_zone<'a>(
+    peers: Vec<(OrderKey, &'a Arc<str>, &'a Heard)>,
+) -> Vec<(OrderKey, &'a Arc<str>, &'a Heard)> {
+    let mut firsts: HashMap<&str, (OrderKey, &Arc<str>, &Heard)> = HashMap::new();
     for peer in peers {
         let first = firsts.entry(&peer.2.zone).or_insert(peer);
         if peer.0 < first.0 {
@@ -119,22 +121,27 @@
     firsts.into_values().collect()
 }
 
-/// Any peer to follow, for a node that the store does not serve: of those heard
-/// within `silence` that `usable` allows the one that knew nothing newer the
-/// longest time ago (`left_at`) or never. So each has its turn, and one that was
-/// left for another reason comes first. Each node has an order of its own, lest
-/// all ask the same one: it takes 64 followers at most.
-pub fn any_peer(
+/// Returns a peer to follow for a node that cannot reach the store: of the peers seen
+/// within `max_silence` that `is_usable` accepts, the one that was abandoned the
+/// longest time ago (`abandoned_at`), or never. So each peer is tried in turn. Each
+/// node uses an order of its own, so that they do not all try the same peer, which
+/// accepts at most 64 followers.
+pub fn least_recently_tried_peer(
     myself: &Myself,
-    heard: &HashMap<Arc<str>, Heard>,
-    silence: Duration,
-    usable: impl Fn(&str) -> bool,
-    left_at: impl Fn(&str) -> Option<Instant>,
+    peers: &HashMap<Arc<str>, Heard>,
+    max_silence: Duration,
+    is_usable: impl Fn(&str) -> bool,
+    abandoned_at: impl Fn(&str) -> Option<Instant>,
 ) -> Option<Parent> {
-    heard
+    peers
         .iter()
-        .filter(|(name, peer)| peer.at.elapsed() < silence && usable(name))
-        .min_by_key(|(name, _)| (left_at(name), barleyspar_domain::rank(&myself.name, name)))
+        .filter(|(name, peer)| peer.at.elapsed() < max_silence && is_usable(name))
+        .min_by_key(|(name, _)| {
+            (
+                abandoned_at(name),
+                barleyspar_domain::rank(&myself.name, name),
+            )
+        })
         .map(|(name, peer)| Parent {
             name: name.clone(),
             address: peer.address,
--- a/crates/gateway/src/feed/tree_tests.rs
+++ b/crates/gateway/src/feed/tree_tests.rs
@@ -5,10 +5,10 @@
 
 use tokio::time::Instant;
 
-use super::tree::{FANOUT, Myself, any_peer, parent};
+use super::tree::{FANOUT, Myself, least_recently_tried_peer, parent};
 use crate::peers::Heard;
 
-const SILENCE: Duration = Duration::from_secs(2);
+const MAX_SILENCE: Duration = Duration::from_secs(2);
 
 fn name(number: u8) -> Arc<str> {
     format!("node-{number}").into()
@@ -20,12 +20,12 @@
     format!("zone-{}", number % ZONES).into()
 }
 
-/// The first five nodes have faster links, one in each zone.
+/// The first five nodes, one in each zone, have faster links.
 fn capacity(number: u8) -> u32 {
     if number < 5 { 200 } else { 10 }
 }
 
-fn heard(nodes: u8, except: u8) -> HashMap<Arc<str>, Heard> {
+fn seen_peers(nodes: u8, except: u8) -> HashMap<Arc<str>, Heard> {
     (0..nodes)
         .filter(|number| *number != except)
         .map(|number| {
@@ -51,7 +51,13 @@
 
 fn parent_of(number: u8, nodes: u8, avoided: &[Arc<str>]) -> Option<Arc<str>> {
     let avoided = |name: &str| avoided.iter().any(|avoided| &**avoided == name);
-    parent(&myself(number), &heard(nodes, number), SILENCE, avoided).map(|parent| parent.name)
+    parent(
+        &myself(number),
+        &seen_peers(nodes, number),
+        MAX_SILENCE,
+        avoided,
+    )
+    .map(|parent| parent.name)
 }
 
 #[tokio::test(start_paused = true)]
@@ -80,7 +86,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn faster_machines_stand_nearer_to_the_root() {
+async fn faster_machines_are_nearer_to_the_root() {
     let parents: Vec<Option<Arc<str>>> = (0..60).map(|number| parent_of(number, 60, &[])).collect();
     let fast: Vec<Arc<str>> = (0..5).map(name).collect();
     assert!(
@@ -97,20 +103,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_peer_is_no_parent() {
-    let peers = heard(2, 1);
+async fn an_unresponsive_peer_is_no_parent() {
+    let peers = seen_peers(2, 1);
     let myself = Myself {
         name: name(1),
         capacity: 1,
         zone: zone(1),
     };
-    assert!(parent(&myself, &peers, SILENCE, |_| false).is_some());
-    tokio::time::advance(SILENCE * 2).await;
-    assert!(parent(&myself, &peers, SILENCE, |_| false).is_none());
+    assert!(parent(&myself, &peers, MAX_SILENCE, |_| false).is_some());
+    tokio::time::advance(MAX_SILENCE * 2).await;
+    assert!(parent(&myself, &peers, MAX_SILENCE, |_| false).is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_changes_goes_to_each_zone_once() {
+async fn each_change_is_sent_to_each_zone_once() {
     let parents: Vec<(u8, Arc<str>)> = (0..250)
         .filter_map(|number| Some((number, parent_of(number, 250, &[])?)))
         .collect();
@@ -123,33 +129,42 @@
     assert_eq!(between.count(), usize::from(ZONES) - 1);
 }
 
-/// A node that the store does not serve asked the peer heard last again and again,
-/// and never the only one that the store served.
+/// Guards against a node that cannot reach the store trying the most recently seen peer
+/// again and again, and never the only peer that can reach it.
 #[tokio::test(start_paused = true)]
-async fn each_peer_has_its_turn() {
+async fn each_peer_is_tried_in_turn() {
     const NODES: u8 = 20;
-    let heard = heard(NODES, 7);
-    let mut left: HashMap<Arc<str>, Instant> = HashMap::new();
-    let mut turns = Vec::new();
+    let seen_peers = seen_peers(NODES, 7);
+    let mut abandoned: HashMap<Arc<str>, Instant> = HashMap::new();
+    let mut tried = Vec::new();
     for _ in 1..NODES {
-        let left_at = |name: &str| left.get(name).copied();
-        let next = any_peer(&myself(7), &heard, SILENCE, |_| true, left_at).unwrap();
+        let abandoned_at = |name: &str| abandoned.get(name).copied();
+        let next =
+            least_recently_tried_peer(&myself(7), &seen_peers, MAX_SILENCE, |_| true, abandoned_at)
+                .unwrap();
         tokio::time::advance(Duration::from_millis(1)).await;
-        left.insert(next.name.clone(), Instant::now());
-        turns.push(next.name);
+        abandoned.insert(next.name.clone(), Instant::now());
+        tried.push(next.name);
     }
-    turns.sort();
-    turns.dedup();
-    assert_eq!(turns.len(), usize::from(NODES) - 1);
+    tried.sort();
+    tried.dedup();
+    assert_eq!(tried.len(), usize::from(NODES) - 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn nodes_that_the_store_does_not_serve_ask_different_peers() {
+async fn nodes_that_cannot_reach_the_store_try_different_peers() {
     const NODES: u8 = 250;
     let mut followers: HashMap<Arc<str>, usize> = HashMap::new();
     for number in 0..NODES {
-        let heard = heard(NODES, number);
-        let first = any_peer(&myself(number), &heard, SILENCE, |_| true, |_| None).unwrap();
+        let seen_peers = seen_peers(NODES, number);
+        let first = least_recently_tried_peer(
+            &myself(number),
+            &seen_peers,
+            MAX_SILENCE,
+            |_| true,
+            |_| None,
+        )
+        .unwrap();
         *followers.entry(first.name).or_default() += 1;
     }
     let most = followers.values().max().copied();
@@ -157,11 +172,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_peer_that_is_not_heard_is_not_asked() {
-    let heard = heard(5, 0);
-    tokio::time::advance(SILENCE).await;
+async fn an_unresponsive_peer_is_not_tried() {
+    let seen_peers = seen_peers(5, 0);
+    tokio::time::advance(MAX_SILENCE).await;
     assert_eq!(
-        any_peer(&myself(0), &heard, SILENCE, |_| true, |_| None),
+        least_recently_tried_peer(&myself(0), &seen_peers, MAX_SILENCE, |_| true, |_| None),
         None
     );
 }
--- a/crates/gateway/src/register.rs
+++ b/crates/gateway/src/register.rs
@@ -99,5 +99,5 @@
     // The feed ends only with the process.
     seen.wait_for(of_era)
         .await
-        .is_ok_and(|state| state.has(key))
+        .is_ok_and(|state| state.has_key(key))
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -34,7 +34,7 @@
     network: Arc<dyn Network>,
     metrics: Arc<Metrics>,
     idle: Arc<Mutex<Vec<Connection>>>,
-    heard: Arc<Mutex<Option<Instant>>>,
+    last_answer_at: Arc<Mutex<Option<Instant>>>,
     era: watch::Sender<Era>,
 }
 
@@ -62,7 +62,7 @@
             network,
             metrics,
             idle: Arc::default(),
-            heard: Arc::default(),
+            last_answer_at: Arc::default(),
             era: watch::Sender::new(Era {
                 number: 0,
                 since: Instant::now(),
@@ -71,23 +71,29 @@
     }
 
     /// A client of the same store with connections of its own, which tells only of
-    /// its own calls when the store was heard.
+    /// its own calls when the store was last_answer_at.
     pub fn separate(&self) -> Self {
         Self {
             idle: Arc::default(),
-            heard: Arc::default(),
+            last_answer_at: Arc::default(),
             ..self.clone()
         }
     }
 
     /// When the last part of an answer came, of whatever call.
-    pub fn last_heard(&self) -> Option<Instant> {
-        *self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn last_answer_at(&self) -> Option<Instant> {
+        *self
+            .last_answer_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_heard(&self) {
-        let mut heard = self.heard.lock().unwrap_or_else(PoisonError::into_inner);
-        *heard = Some(Instant::now());
+    fn record_answer(&self) {
+        let mut last_answer_at = self
+            .last_answer_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *last_answer_at = Some(Instant::now());
     }
 
     /// The newest era that this node knows of, and its changes.
@@ -157,7 +163,7 @@
         let (mut connection, response) = timeout(patience, self.send(call))
             .await
             .unwrap_or_else(|_| Err(time_is_up()))?;
-        self.note_heard();
+        self.record_answer();
         let era = self.dialect.store_era(response.headers());
         self.note_era(era);
         let status = response.status();
@@ -198,7 +204,7 @@
             .await
             .map_err(|_| time_is_up())?
         {
-            self.note_heard();
+            self.record_answer();
             let frame = frame.map_err(|error| StoreError::Unanswered(error.to_string()))?;
             if let Ok(part) = frame.into_data() {
                 whole.extend_from_slice(&part);
