--- a/crates/gateway/src/feed/copy.rs
+++ b/crates/gateway/src/feed/copy.rs
@@ -97,7 +97,7 @@
     /// Applies a frame from a parent; fails if the frame cannot be decoded.
     pub async fn apply_frame(&self, received: ReceivedFrame) -> io::Result<()> {
         let ReceivedFrame { frame, complete_at } = received;
-        self.store.note_era(frame.revision.era);
+        self.store.observe_era(frame.revision.era);
         let update = frame.content.decode()?;
         self.apply(update, frame.revision, complete_at, frame.depth + 1)
             .await;
--- a/crates/gateway/src/feed/frame.rs
+++ b/crates/gateway/src/feed/frame.rs
@@ -89,7 +89,7 @@
     let deflated = encoder
         .write_all(&plain)
         .and_then(|()| encoder.finish())
-        .expect("memory takes all that is written");
+        .expect("writes to memory succeed");
     Packed {
         deflated: true,
         bytes: deflated.into(),
@@ -120,7 +120,7 @@
 }
 
 fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    rmp_serde::to_vec(value).expect("frames have only plain data")
+    rmp_serde::to_vec(value).expect("frames are serializable")
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
--- a/crates/gateway/src/feed/state_tests.rs
+++ b/crates/gateway/src/feed/state_tests.rs
@@ -151,7 +151,7 @@
     let mut state = FeedState::default();
     state.replace_all(&items, at(4));
     let Missing::Everything(packed) = state.missing_since(at(0)) else {
-        panic!("it knows nothing yet");
+        panic!("the follower has no data");
     };
     assert_eq!(packed.items().expect("it is a list of items"), items);
 }
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells whether the node wants clients.
+//! Answers load balancers that ask whether this node accepts clients.
 
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -7,7 +7,8 @@
 use crate::context::Context;
 use crate::lifecycle::Stage;
 
-/// Answers a question on the readiness address.
+/// Answers a request to the readiness address: 200 if this node accepts clients, 503 if
+/// not, 404 on an unknown path.
 pub fn answer(context: &Context, request: &Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path();
     let mut response = Response::new(AnswerBody::whole(""));
@@ -21,8 +22,8 @@
     response
 }
 
-/// Ready is who may serve callers and is not being stopped. One that cannot show
-/// that its knowledge of credentials is young sends callers to other nodes.
+/// Whether the node may serve callers and is not being stopped. A node that cannot show
+/// that its copy of the credentials is recent lets callers go to other nodes.
 fn is_ready(context: &Context) -> bool {
     context.may_serve() && context.lifecycle.stage() == Stage::Running
 }
--- a/crates/gateway/src/register.rs
+++ b/crates/gateway/src/register.rs
@@ -11,39 +11,39 @@
 use crate::peers::MemberRecord;
 use crate::store::Store;
 
-/// Prefix of the members' keys in the store.
+/// Prefix of the members' keys in the store; the node's name follows.
 pub const MEMBER_PREFIX: &str = "barleyspar/node/";
-/// Time after which the entry goes unless it is renewed.
+/// Time after which the entry expires unless it is renewed.
 const TIME_TO_LIVE: Duration = Duration::from_secs(12);
-/// Time between renewals.
-const RENEWAL: Duration = Duration::from_secs(4);
-/// Time for one call.
+/// Time between two renewals.
+const RENEWAL_PERIOD: Duration = Duration::from_secs(4);
+/// Timeout of one call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed try.
+/// Pause after a failed attempt to write the entry.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// The value of this node's key in the store.
 fn member_value(record: &MemberRecord) -> Vec<u8> {
-    rmp_serde::to_vec(record).expect("a record is plain data")
+    rmp_serde::to_vec(record).expect("a record is serializable")
 }
 
 fn member_key(context: &Context) -> String {
     format!("{MEMBER_PREFIX}{}", context.settings.name)
 }
 
-/// Registers this node under a lease, and keeps it there; `seen` is what the store shows.
+/// Writes this node's entry under a lease and keeps it in the store for as long as the
+/// process runs; `seen` is this node's copy of the store.
 pub async fn register(store: Store, context: Context, seen: watch::Receiver<FeedState>) {
     let key = member_key(&context);
     loop {
-        match enter(&store, &context).await {
-            Some(lease) => renew(&store, lease, &key, seen.clone()).await,
+        match write_entry(&store, &context).await {
+            Some(lease) => keep_renewed(&store, lease, &key, seen.clone()).await,
             None => sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-/// Writes the entry; its lease.
-async fn enter(store: &Store, context: &Context) -> Option<u64> {
+/// Writes the entry under a new lease and returns the lease; `None` on a failure.
+async fn write_entry(store: &Store, context: &Context) -> Option<u64> {
     let grant = StoreCall::GrantLease {
         time_to_live: TIME_TO_LIVE,
     };
@@ -65,39 +65,42 @@
     ) {
         return Some(lease);
     }
-    // The entry may be written yet; without its lease it cannot stay.
+    // The entry may still be written; it cannot stay without its lease.
     let _ = store
         .call(&StoreCall::EndLease { lease }, CALL_TIMEOUT)
         .await;
     None
 }
 
-/// Renews until the store says that the lease is over, or has lost the entry.
-async fn renew(store: &Store, lease: u64, key: &str, mut seen: watch::Receiver<FeedState>) {
+/// Renews the lease until the store reports its end, or has lost the entry in a
+/// restore.
+async fn keep_renewed(store: &Store, lease: u64, key: &str, mut seen: watch::Receiver<FeedState>) {
     let mut eras = store.era();
     let mut era = eras.borrow_and_update().number;
     loop {
-        // A store that comes back from a copy may have lost lease and entry.
-        let _ = timeout(RENEWAL, eras.changed()).await;
+        // A store that is restored from a backup may have lost the lease or the entry,
+        // so a new era causes an immediate renewal.
+        let _ = timeout(RENEWAL_PERIOD, eras.changed()).await;
         let call = StoreCall::RenewLease { lease };
         if let Err(StoreError::LeaseGone) = store.call(&call, CALL_TIMEOUT).await {
             return;
         }
-        let now = eras.borrow_and_update().number;
-        if now > era {
-            era = now;
-            if !is_shown(&mut seen, key, era).await {
+        let current_era = eras.borrow_and_update().number;
+        if current_era > era {
+            era = current_era;
+            if !is_entry_shown(&mut seen, key, era).await {
                 return;
             }
         }
     }
 }
 
-/// Whether the store shows an entry under `key` in `era`.
-async fn is_shown(seen: &mut watch::Receiver<FeedState>, key: &str, era: u32) -> bool {
-    let of_era = |state: &FeedState| state.revision().era >= era;
+/// Whether the store shows an entry under `key` in `era`; waits until the copy shows
+/// that era.
+async fn is_entry_shown(seen: &mut watch::Receiver<FeedState>, key: &str, era: u32) -> bool {
+    let shows_era = |state: &FeedState| state.revision().era >= era;
     // The feed ends only with the process.
-    seen.wait_for(of_era)
+    seen.wait_for(shows_era)
         .await
         .is_ok_and(|state| state.has_key(key))
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -18,14 +18,14 @@
 use crate::network::Network;
 use crate::upstream::Connection;
 
-/// Seconds that a connection to the store may rest.
+/// Seconds that a connection to the store may stay idle.
 const KEEP_ALIVE_SECONDS: u64 = 5;
 
-/// Longest time for one call, however its answer comes.
-const LONGEST_CALL: Duration = Duration::from_secs(40);
+/// Maximum duration of one call, even while its answer keeps arriving.
+const MAX_CALL_TIME: Duration = Duration::from_secs(40);
 
-/// Makes calls to the store. A connection on which an answer stayed out is not
-/// used again.
+/// A client of the store, with a pool of idle connections. A connection on which a call
+/// was not fully answered is not used again.
 #[derive(Clone)]
 pub struct Store {
     address: SocketAddr,
@@ -38,17 +38,18 @@
     era: watch::Sender<Era>,
 }
 
-/// The newest era of the store that this node knows of.
+/// The newest era of the store that this node knows of. An era ends when the store is
+/// restored from a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Era {
-    /// Its number; 0 before the first answer.
+    /// The era's number; 0 before the first answer.
     pub number: u32,
-    /// When this node learnt of it.
+    /// When this node learnt of the era.
     pub since: Instant,
 }
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(
         address: SocketAddr,
         dialect: Arc<dyn Dialect>,
@@ -57,7 +58,8 @@
     ) -> Self {
         Self {
             address,
-            host: HeaderValue::from_str(&address.to_string()).expect("an address is plain text"),
+            host: HeaderValue::from_str(&address.to_string())
+                .expect("an address is a valid header value"),
             dialect,
             network,
             metrics,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// A client of the same store with connections of its own, which tells only of
-    /// its own calls when the store was last_answer_at.
+    /// Returns a client of the same store with its own connections, whose
+    /// [`Store::last_answer_at`] covers only its own calls. The era is shared.
     pub fn separate(&self) -> Self {
         Self {
             idle: Arc::default(),
@@ -80,7 +82,7 @@
         }
     }
 
-    /// When the last part of an answer came, of whatever call.
+    /// When the last part of an answer to any call arrived; `None` before the first.
     pub fn last_answer_at(&self) -> Option<Instant> {
         *self
             .last_answer_at
@@ -96,56 +98,57 @@
         *last_answer_at = Some(Instant::now());
     }
 
-    /// The newest era that this node knows of, and its changes.
+    /// Returns the newest era that this node knows of, and its changes.
     pub fn era(&self) -> watch::Receiver<Era> {
         self.era.subscribe()
     }
 
-    /// Takes in that the store is, or was, in the era `number`.
-    pub fn note_era(&self, number: u32) {
+    /// Records that the store is, or was, in the era `number`; an era that is not newer
+    /// changes nothing.
+    pub fn observe_era(&self, number: u32) {
         self.era.send_if_modified(|known| {
-            let rises = number > known.number;
-            if rises {
+            let is_newer = number > known.number;
+            if is_newer {
                 tracing::warn!(event = "store_era", era = number, before = known.number);
                 let since = Instant::now();
                 *known = Era { number, since };
             }
-            rises
+            is_newer
         });
     }
 
-    /// Whether a condition names a change of an earlier era: the store would compare its
-    /// number with that of another change.
+    /// Whether a condition of the call names a revision of an earlier era: the store
+    /// would compare its number with that of another change.
     fn is_outdated(&self, call: &StoreCall) -> bool {
         let StoreCall::Commit(Transaction { conditions, .. }) = call else {
             return false;
         };
         let era = self.era.borrow().number;
-        let mut named = conditions.iter().filter_map(|(_, revision)| *revision);
-        named.any(|revision| revision.era < era)
+        let mut revisions = conditions.iter().filter_map(|(_, revision)| *revision);
+        revisions.any(|revision| revision.era < era)
     }
 
-    /// Makes one call. Waits for `patience` for its answer to begin, and as long
-    /// for each further part of it: a long answer that keeps coming is not given
-    /// up, since the next one would be no shorter.
+    /// Makes one call. Waits up to `answer_timeout` for the answer to begin, and as
+    /// long for each further part: a long answer that keeps arriving is not dropped,
+    /// since the next one would be as long.
     pub async fn call(
         &self,
         call: &StoreCall,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<StoreAnswer, StoreError> {
         let started = Instant::now();
-        let result = timeout(LONGEST_CALL, self.exchange(call, patience))
+        let result = timeout(MAX_CALL_TIME, self.exchange(call, answer_timeout))
             .await
-            .unwrap_or_else(|_| Err(time_is_up()));
+            .unwrap_or_else(|_| Err(timeout_error()));
         let outcome = if result.is_ok() { "answered" } else { "failed" };
-        let took = started.elapsed();
-        self.metrics.store_call(call.name(), outcome, took);
+        let elapsed = started.elapsed();
+        self.metrics.store_call(call.name(), outcome, elapsed);
         if let Err(error) = &result {
             tracing::info!(
                 event = "store_call_failed",
                 call = call.name(),
-                patience_ms = milliseconds(patience),
-                waited_ms = milliseconds(took),
+                patience_ms = milliseconds(answer_timeout),
+                waited_ms = milliseconds(elapsed),
                 %error
             );
         }
@@ -155,24 +158,24 @@
     async fn exchange(
         &self,
         call: &StoreCall,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<StoreAnswer, StoreError> {
         if self.is_outdated(call) {
             return Ok(StoreAnswer::Conflict);
         }
-        let (mut connection, response) = timeout(patience, self.send(call))
+        let (mut connection, response) = timeout(answer_timeout, self.send(call))
             .await
-            .unwrap_or_else(|_| Err(time_is_up()))?;
+            .unwrap_or_else(|_| Err(timeout_error()))?;
         self.record_answer();
         let era = self.dialect.store_era(response.headers());
-        self.note_era(era);
+        self.observe_era(era);
         let status = response.status();
-        let body = self.read_body(response.into_body(), patience).await?;
+        let body = self.read_body(response.into_body(), answer_timeout).await?;
         connection.rest(Some(KEEP_ALIVE_SECONDS));
-        self.lock().push(connection);
+        self.lock_idle().push(connection);
         if era < self.era.borrow().number {
             return Err(StoreError::Unanswered(
-                "the store has come back from a copy since".to_owned(),
+                "the store has been restored from a backup since".to_owned(),
             ));
         }
         self.dialect.read_store_answer(call, era, status, &body)
@@ -197,33 +200,37 @@
         Ok((connection, response))
     }
 
-    /// Reads a body of which each part comes within `patience`.
-    async fn read_body(&self, mut body: Incoming, patience: Duration) -> Result<Bytes, StoreError> {
-        let mut whole = BytesMut::new();
-        while let Some(frame) = timeout(patience, body.frame())
+    /// Reads a body, waiting up to `answer_timeout` for each part.
+    async fn read_body(
+        &self,
+        mut body: Incoming,
+        answer_timeout: Duration,
+    ) -> Result<Bytes, StoreError> {
+        let mut bytes = BytesMut::new();
+        while let Some(frame) = timeout(answer_timeout, body.frame())
             .await
-            .map_err(|_| time_is_up())?
+            .map_err(|_| timeout_error())?
         {
             self.record_answer();
             let frame = frame.map_err(|error| StoreError::Unanswered(error.to_string()))?;
             if let Ok(part) = frame.into_data() {
-                whole.extend_from_slice(&part);
+                bytes.extend_from_slice(&part);
             }
         }
-        Ok(whole.freeze())
+        Ok(bytes.freeze())
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
+    fn lock_idle(&self) -> std::sync::MutexGuard<'_, Vec<Connection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn checkout(&self) -> Option<Connection> {
-        let mut idle = self.lock();
+        let mut idle = self.lock_idle();
         idle.retain(Connection::is_alive);
         idle.pop()
     }
 }
 
-fn time_is_up() -> StoreError {
-    StoreError::Unanswered("time is up".to_owned())
+fn timeout_error() -> StoreError {
+    StoreError::Unanswered("timed out".to_owned())
 }
