--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Turns the store's changes into what the parts of a gateway need.
+//! Passes the changes of the store to the parts of the gateway that need them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -13,138 +13,144 @@
 use crate::kept_configuration::{self, ConfigurationKeeper, KEPT_CONFIGURATION_KEY};
 use crate::names::Names;
 use crate::peers::PeerHandle;
-use crate::placement::{LEADER_KEY, LeaderRecord, PlacementHandle, SETTLED_ERA_KEY, decode_era};
+use crate::placement::{LEADER_KEY, LEASE_ERA_KEY, LeaderRecord, PlacementHandle, decode_era};
 use crate::register::MEMBER_PREFIX;
-use crate::restored::{Restored, Settled};
+use crate::restored::{Decision, Restored};
 use crate::tasks::sleep_until_some;
 
-/// Part of its bound within which an evacuation is in force; the rest covers what was
-/// granted a runner at the end of it, connections (0.3 s) and links besides.
+/// Fraction of its bound within which an evacuation takes effect. The rest covers
+/// requests granted to a runner just before, connections (0.3 s) and links.
 ///
-/// What stands only in the zone is served there until it was loaded elsewhere.
-const EVACUATION_PART: f64 = 0.7;
+/// Models that are loaded only in the evacuated zone are served there until they are
+/// loaded elsewhere, for up to this time.
+const EVACUATION_FRACTION: f64 = 0.7;
 
-/// Where changes go.
+/// Receives changes from the feed and passes them on.
 pub struct Discovery {
-    /// What all parts share.
+    /// The node's settings, dispatcher, dialect and other shared state.
     pub context: Context,
-    /// The routes in force.
+    /// The routes in force; `None` before the first configuration.
     pub routes: watch::Sender<Option<Arc<RouteTable>>>,
     /// The placement task.
     pub placement: PlacementHandle,
     /// The peers task.
     pub peers: PeerHandle,
-    /// Who leads the placement.
+    /// The leader of the placement; `None` while there is none.
     pub leader: watch::Sender<Option<LeaderRecord>>,
-    /// The store's era in which a lease of the leader was taken last.
+    /// The store's era in which the placement lease was last acquired.
     pub settled_era: watch::Sender<u32>,
-    /// When the routes in force were known to be the operators' latest.
+    /// As of when the routes in force were known to be the operators' latest.
     pub confirmed: watch::Sender<Option<Instant>>,
-    /// Keeps the configuration in force in a store that shows an older one.
+    /// Writes the configuration in force to the store if the store shows an older one.
     pub keeper: ConfigurationKeeper,
-    /// The configuration in force as it stands, or stood, in the store.
+    /// The store's item from which the configuration in force was read.
     pub in_force: Option<Item>,
-    /// The revision of the configuration that is kept in the store.
+    /// The revision of the configuration kept under [`KEPT_CONFIGURATION_KEY`]; `None`
+    /// if there is none.
     pub kept: Option<Revision>,
     /// Whether the latest configuration could not be read.
     pub unreadable: bool,
-    /// Which arrivals the log tells of.
+    /// Limits how many log lines on new runners are written.
     pub arrivals: Arrivals,
-    /// Names that runners' entries share.
+    /// Names that runners' entries share, to save memory.
     pub names: Names,
-    /// Runners that stand in the store, by their own ids.
+    /// The runners in the store, by the names under which they are stored.
     pub runners: HashMap<Arc<str>, Arc<Runner>>,
-    /// What is believed of a store that came back from a copy.
+    /// Decides what to use of a store that was restored from a backup.
     pub restored: Restored,
-    /// Zones that the operators evacuate, and until when the runners of each still
-    /// serve what no others can.
+    /// Zones under evacuation, with the time until which the runners of each still
+    /// serve models that are loaded nowhere else.
     pub evacuated: BTreeMap<Arc<str>, Instant>,
 }
 
 impl Discovery {
-    /// Passes changes on until they end.
+    /// Applies changes until the feed ends.
     pub async fn run(mut self, mut changes: mpsc::Receiver<Change>) {
         loop {
-            let settles_at = self.restored.next();
+            let decision_at = self.restored.next_decision_at();
             tokio::select! {
                 change = changes.recv() => match change {
-                    Some(change) => self.change(change),
+                    Some(change) => self.apply_change(change),
                     None => return,
                 },
-                () = sleep_until_some(settles_at) => self.settle(),
+                () = sleep_until_some(decision_at) => self.apply_decisions(),
             }
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
-            Change::Everything(items, era) => self.everything(items, era),
-            Change::Event(Event::Written(item)) => self.written(&item, false),
-            Change::Event(Event::Removed { key, .. }) => self.removed(&key),
-            Change::CompleteAt(at) => self.complete_at(at),
+            Change::Everything(items, era) => self.apply_full_read(items, era),
+            Change::Event(Event::Written(item)) => self.apply_written(&item, false),
+            Change::Event(Event::Removed { key, .. }) => self.apply_removed(&key),
+            Change::CompleteAt(at) => self.confirm_routes(at),
         }
     }
 
-    /// Takes in what has become certain since the store came back from a copy.
-    fn settle(&mut self) {
-        for settled in self.restored.settle() {
-            match settled {
-                Settled::RunnerGone(name) => self.runner_gone(&name),
-                Settled::NotEvacuated(zone) => self.evacuate(|zones| {
+    /// Applies what was decided since the store was restored from a backup.
+    fn apply_decisions(&mut self) {
+        for decision in self.restored.take_due() {
+            match decision {
+                Decision::RunnerGone(name) => self.drop_runner(&name),
+                Decision::EvacuationEnded(zone) => self.update_evacuated(|zones| {
                     zones.remove(&zone);
                 }),
-                Settled::RunnerLives(runner, revision) => self.runner(*runner, revision, false),
+                Decision::RunnerAlive(runner, revision) => {
+                    self.apply_runner(*runner, revision, false)
+                }
             }
         }
     }
 
-    /// Takes in that no change before `at` is missing. That says nothing of a
-    /// configuration that this node cannot read.
-    fn complete_at(&self, at: Instant) {
+    /// Records that no change before `at` is missing. That confirms no configuration if
+    /// this node could not read the latest one.
+    fn confirm_routes(&self, at: Instant) {
         if !self.unreadable {
             self.confirmed.send_replace(Some(at));
         }
     }
 
-    fn everything(&mut self, items: Vec<Item>, era: u32) {
-        let is_restored = self.restored.begins(era);
-        self.keeper.begin_reading();
+    fn apply_full_read(&mut self, items: Vec<Item>, era: u32) {
+        let is_restored = self.restored.start_era(era);
+        self.keeper.reset_shown();
         self.kept = None;
         let members: Vec<&str> = items
             .iter()
             .filter_map(|item| item.key.strip_prefix(MEMBER_PREFIX))
             .collect();
-        self.peers.retain(&members);
+        self.peers.retain_members(&members);
         if !items.iter().any(|item| item.key == LEADER_KEY) {
             self.leader.send_replace(None);
         }
-        if !items.iter().any(|item| item.key == SETTLED_ERA_KEY) {
+        if !items.iter().any(|item| item.key == LEASE_ERA_KEY) {
             self.settled_era.send_replace(0);
         }
         let dialect = self.context.dialect.clone();
         if is_restored {
-            self.note_lacking(&items);
+            self.record_missing(&items);
         }
         let evacuated: Vec<&str> = items
             .iter()
             .filter_map(|item| dialect.evacuation_of_key(&item.key))
             .collect();
         let mut zones = self.evacuated.clone();
-        zones.retain(|zone, _| evacuated.contains(&&**zone) || self.restored.is_zone_lacking(zone));
-        self.evacuate(|known| *known = zones);
-        // Evacuations and the configuration first: no runner may be used before them.
-        let (first, runners): (Vec<&Item>, Vec<&Item>) = items
+        zones.retain(|zone, _| evacuated.contains(&&**zone) || self.restored.is_zone_missing(zone));
+        self.update_evacuated(|known| *known = zones);
+        // Evacuations and the configuration first: no runner may be used before they
+        // are applied.
+        let (others, runners): (Vec<&Item>, Vec<&Item>) = items
             .iter()
             .partition(|item| dialect.runner_of_key(&item.key).is_none());
-        for item in first.iter().chain(&runners) {
-            self.written(item, true);
+        for item in others.iter().chain(&runners) {
+            self.apply_written(item, true);
         }
-        let named: HashSet<&str> = runners
+        let runner_names: HashSet<&str> = runners
             .iter()
             .filter_map(|item| dialect.runner_of_key(&item.key))
             .collect();
-        self.runners
-            .retain(|name, _| named.contains(&**name) || self.restored.is_lacking(name));
+        self.runners.retain(|name, _| {
+            runner_names.contains(&**name) || self.restored.is_runner_missing(name)
+        });
         tracing::info!(
             event = "store_known",
             runners = self.runners.len(),
@@ -163,8 +169,9 @@
         }
     }
 
-    /// Notes what this node knew and the copy that the store came back from lacks.
-    fn note_lacking(&mut self, items: &[Item]) {
+    /// Records which runners and evacuations this node knew and a restored store does
+    /// not show.
+    fn record_missing(&mut self, items: &[Item]) {
         let dialect = self.context.dialect.clone();
         let runners: HashSet<&str> = items
             .iter()
@@ -174,22 +181,22 @@
             .iter()
             .filter_map(|item| dialect.evacuation_of_key(&item.key))
             .collect();
-        let lacks_runner = |name: &&Arc<str>| !runners.contains(&***name);
-        let lacks_zone = |zone: &&Arc<str>| !zones.contains(&***zone);
-        let lacking = self.runners.keys().filter(lacks_runner).cloned();
-        let lacking_zones = self.evacuated.keys().filter(lacks_zone).cloned();
-        self.restored.lacks(lacking, lacking_zones);
+        let is_runner_missing = |name: &&Arc<str>| !runners.contains(&***name);
+        let is_zone_missing = |zone: &&Arc<str>| !zones.contains(&***zone);
+        let missing_runners = self.runners.keys().filter(is_runner_missing).cloned();
+        let missing_zones = self.evacuated.keys().filter(is_zone_missing).cloned();
+        self.restored.record_missing(missing_runners, missing_zones);
     }
 
-    fn written(&mut self, item: &Item, whole_reading: bool) {
-        if item.key == SETTLED_ERA_KEY {
+    fn apply_written(&mut self, item: &Item, in_full_read: bool) {
+        if item.key == LEASE_ERA_KEY {
             self.settled_era.send_replace(decode_era(&item.value));
             return;
         }
         if item.key == KEPT_CONFIGURATION_KEY {
             self.kept = Some(item.revision);
             if let Some(kept) = kept_configuration::decode(&item.value) {
-                self.written(&kept, whole_reading);
+                self.apply_written(&kept, in_full_read);
             }
             return;
         }
@@ -206,23 +213,25 @@
             return;
         }
         if let Some(name) = item.key.strip_prefix(MEMBER_PREFIX) {
-            self.peers.joined(name, &item.value);
+            self.peers.member_written(name, &item.value);
             return;
         }
         match self.context.dialect.read_object(&item.key, &item.value) {
             Ok(StoredObject::Configuration(configuration)) => {
                 self.unreadable = false;
-                self.keeper.shows(configuration.version);
+                self.keeper.record_shown(configuration.version);
                 if self.configure(*configuration) {
                     self.in_force = Some(item.clone());
                 }
             }
-            Ok(StoredObject::Runner(runner)) => self.runner(*runner, item.revision, whole_reading),
+            Ok(StoredObject::Runner(runner)) => {
+                self.apply_runner(*runner, item.revision, in_full_read)
+            }
             Ok(StoredObject::Evacuation(zone)) => {
                 self.restored.zone_written(&zone);
-                let last = self.last_of_evacuated();
-                self.evacuate(|zones| {
-                    zones.entry(zone).or_insert(last);
+                let deadline = self.evacuation_deadline();
+                self.update_evacuated(|zones| {
+                    zones.entry(zone).or_insert(deadline);
                 });
             }
             Ok(StoredObject::Other) => {}
@@ -230,43 +239,45 @@
                 tracing::warn!(event = "object_unreadable", key = item.key, %error);
                 let dialect = self.context.dialect.clone();
                 match dialect.runner_of_key(&item.key) {
-                    // Somebody else's entry, which names no runner to use.
-                    Some(name) => self.runner_gone(name),
+                    // The entry is not one of this system, or it names no usable
+                    // runner.
+                    Some(name) => self.drop_runner(name),
                     None => self.unreadable = true,
                 }
             }
         }
     }
 
-    fn removed(&mut self, key: &str) {
+    fn apply_removed(&mut self, key: &str) {
         let dialect = self.context.dialect.clone();
         if key == LEADER_KEY {
             self.leader.send_replace(None);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
-            self.peers.left(name);
+            self.peers.member_removed(name);
         } else if let Some(zone) = dialect.evacuation_of_key(key) {
-            self.evacuate(|zones| {
+            self.update_evacuated(|zones| {
                 zones.remove(zone);
             });
         } else if let Some(name) = dialect.runner_of_key(key) {
-            self.restored.removed(name);
-            self.runner_gone(name);
+            self.restored.entry_removed(name);
+            self.drop_runner(name);
         }
     }
 
-    /// The runner `name` is no more, or its entry does not say where it is.
-    fn runner_gone(&mut self, name: &str) {
+    /// Drops the runner `name`, whose entry was removed or no longer says where it is.
+    fn drop_runner(&mut self, name: &str) {
         let Some(known) = self.runners.remove(name) else {
             return;
         };
         tracing::info!(event = "runner_gone", runner = &*known.id);
-        self.restored.gone(&known);
+        self.restored.record_gone(&known);
         self.context.dispatch.remove_runner(known.id.clone());
         self.placement.remove_runner(known.id.clone());
     }
 
-    /// Changes which zones are evacuated, and tells everybody if that is new.
-    fn evacuate(&mut self, change: impl FnOnce(&mut BTreeMap<Arc<str>, Instant>)) {
+    /// Changes the zones under evacuation, and notifies the dispatcher and the
+    /// placement task if they differ.
+    fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeMap<Arc<str>, Instant>)) {
         let before = self.evacuated.clone();
         change(&mut self.evacuated);
         if self.evacuated == before {
@@ -278,34 +289,36 @@
         self.placement.set_evacuated(zones);
     }
 
-    /// Until when runners of a zone whose evacuation is read now still serve what no
-    /// others can. It was asked for after the last moment at which this node is known
-    /// to have missed no change, so its bound began then at the earliest.
-    fn last_of_evacuated(&self) -> Instant {
+    /// Returns until when runners of a zone whose evacuation is read now still serve
+    /// models that are loaded nowhere else. The evacuation was requested after the last
+    /// time at which this node had missed no change, so its bound began then at the
+    /// earliest.
+    fn evacuation_deadline(&self) -> Instant {
         let now = Instant::now();
         let bound = self.context.settings.bounds.evacuation;
-        let asked = *self.confirmed.borrow();
-        asked
-            .zip(bound)
-            .map_or(now, |(asked, bound)| asked + bound.mul_f64(EVACUATION_PART))
+        let complete_at = *self.confirmed.borrow();
+        complete_at.zip(bound).map_or(now, |(complete_at, bound)| {
+            complete_at + bound.mul_f64(EVACUATION_FRACTION)
+        })
     }
 
-    /// Has the configuration in force kept, if the store shows an older one.
+    /// Writes the configuration in force to the store if the store shows an older one.
     fn keep_configuration(&self) {
-        if let (Some(version), Some(item)) = (self.version(), &self.in_force) {
+        if let (Some(version), Some(item)) = (self.version_in_force(), &self.in_force) {
             self.keeper.keep(item.clone(), version, self.kept);
         }
     }
 
-    /// The version in force.
-    fn version(&self) -> Option<u64> {
+    /// Returns the version of the configuration in force.
+    fn version_in_force(&self) -> Option<u64> {
         let routes = self.context.routes.borrow();
         routes.as_ref().map(|table| table.configuration().version)
     }
 
-    /// Puts a configuration in force, unless a newer one is; whether it did.
+    /// Puts a configuration in force unless that version or a newer one is. Returns
+    /// whether it did.
     fn configure(&self, configuration: barleyspar_catalog::Configuration) -> bool {
-        if self.version() >= Some(configuration.version) {
+        if self.version_in_force() >= Some(configuration.version) {
             return false;
         }
         let version = configuration.version;
@@ -329,24 +342,25 @@
         true
     }
 
-    fn runner(&mut self, mut runner: Runner, revision: Revision, whole_reading: bool) {
-        if !self.restored.believes(&runner, revision) {
+    fn apply_runner(&mut self, mut runner: Runner, revision: Revision, in_full_read: bool) {
+        if !self.restored.accepts(&runner, revision) {
             let runner = &*runner.id;
             tracing::info!(event = "runner_doubted", runner, era = revision.era);
             return;
         }
-        if !self.follow_life(&runner) {
+        if !self.is_latest_incarnation(&runner) {
             return;
         }
         self.names.share(&mut runner);
         let runner = Arc::new(runner);
-        self.tell(&runner, revision, whole_reading);
+        self.log_runner(&runner, revision, in_full_read);
         self.placement.update_runner(runner.clone());
         self.context.dispatch.update_runner(runner);
     }
 
-    /// Forgets a former life of `runner`. Whether this is its latest.
-    fn follow_life(&mut self, runner: &Runner) -> bool {
+    /// Drops an earlier incarnation of `runner`. Returns false if `runner` itself is
+    /// the earlier one.
+    fn is_latest_incarnation(&mut self, runner: &Runner) -> bool {
         let Some(known) = self.runners.get(&runner.name) else {
             return true;
         };
@@ -361,20 +375,19 @@
             );
             return false;
         }
-        self.runner_gone(&runner.name);
+        self.drop_runner(&runner.name);
         true
     }
 
-    /// Says in the log that a runner is there, or takes no new work any more.
-    /// An entry that only names other models is no line: at size these are most
-    /// of all changes, and the leader tells of them by its orders and reports.
-    /// Nor is one of a `whole_reading` that shows what is usual: `store_known`
-    /// counts these.
-    fn tell(&mut self, runner: &Arc<Runner>, revision: Revision, whole_reading: bool) {
+    /// Logs that a runner was added or that its state changed. A change of its models
+    /// alone is not logged: these are most changes of a large fleet, and the leader's
+    /// orders and reports show them. Nor are runners of a full read (`in_full_read`) in
+    /// the usual state, which `store_known` counts.
+    fn log_runner(&mut self, runner: &Arc<Runner>, revision: Revision, in_full_read: bool) {
         let known = self.runners.insert(runner.name.clone(), runner.clone());
-        let told = known.map(|known| known.state);
-        let expected = told.unwrap_or(RunnerState::Available);
-        if expected == runner.state && (told.is_some() || whole_reading) {
+        let known_state = known.map(|known| known.state);
+        let expected = known_state.unwrap_or(RunnerState::Available);
+        if expected == runner.state && (known_state.is_some() || in_full_read) {
             return;
         }
         if expected == runner.state && !self.arrivals.tells(Instant::now()) {
--- a/crates/gateway/src/kept_configuration.rs
+++ b/crates/gateway/src/kept_configuration.rs
@@ -1,8 +1,8 @@
-//! The newest configuration, kept in the store while it shows an older one.
+//! Keeps the newest configuration in the store while the store shows an older one.
 //!
-//! A store that comes back from a copy may lack a configuration that is in force. Nodes
-//! that knew it go by it; one that starts before the operators have written it again reads
-//! it under a key of the system's own.
+//! A store that is restored from a backup may lack the configuration in force. Nodes
+//! that knew it go on using it; a node that starts before the operators have written it
+//! again reads it under a key of barleyspar's own.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,60 +17,62 @@
 use crate::store::Store;
 use crate::turns::pause_until_turn;
 
-/// Key under which the configuration is kept.
+/// Key under which the newest configuration is kept.
 pub const KEPT_CONFIGURATION_KEY: &str = "barleyspar/configuration";
-/// Time for one call.
+/// Timeout of one call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Keeps configurations in the store.
+/// Writes the configuration in force to the store where the store shows an older one.
 pub struct ConfigurationKeeper {
-    /// What all parts share.
+    /// The node's settings, dispatcher and other shared state.
     pub context: Context,
-    /// The store.
+    /// The client of the store that the configuration is written to.
     pub store: Store,
-    /// When each peer was last heard.
+    /// When each peer was last seen.
     pub heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
-    /// The newest version that the store shows, wherever it stands.
+    /// The newest configuration version that the store shows, under the operators' key
+    /// or [`KEPT_CONFIGURATION_KEY`]; 0 if none.
     pub shown: watch::Sender<u64>,
 }
 
 impl ConfigurationKeeper {
-    /// Begins another reading of everything.
-    pub fn begin_reading(&self) {
+    /// Forgets the version shown, before the full state is read anew.
+    pub fn reset_shown(&self) {
         self.shown.send_replace(0);
     }
 
-    /// The store shows the configuration `version`.
-    pub fn shows(&self, version: u64) {
+    /// Records that the store shows a configuration with this version.
+    pub fn record_shown(&self, version: u64) {
         self.shown.send_modify(|shown| *shown = version.max(*shown));
     }
 
-    /// Keeps `item`, the configuration `version` that is in force, if the store still
-    /// shows an older one when it is this node's turn. `kept` is the revision of what is
-    /// kept now.
+    /// Writes `item`, the configuration `version` that is in force, under
+    /// [`KEPT_CONFIGURATION_KEY`], unless the store shows that version by the end of
+    /// this node's staggered delay. `kept` is the revision of the present item under
+    /// that key.
     pub fn keep(&self, item: Item, version: u64, kept: Option<Revision>) {
         if *self.shown.borrow() >= version {
             return;
         }
         let store = self.store.clone();
         let shown = self.shown.subscribe();
-        let turn = pause_until_turn(&self.context, &self.heard.borrow());
+        let delay = pause_until_turn(&self.context, &self.heard.borrow());
         crate::tasks::spawn(async move {
-            sleep(turn).await;
+            sleep(delay).await;
             let in_store = *shown.borrow();
             if in_store >= version {
                 return;
             }
             tracing::warn!(event = "configuration_kept", version, in_store);
-            // A failure is logged by the store's client; where another node was quicker,
-            // nothing is left to do.
-            let _ = store.call(&call(&item, kept), CALL_TIMEOUT).await;
+            // A failure is logged by the store client; a conflict means that another
+            // node was faster.
+            let _ = store.call(&write_call(&item, kept), CALL_TIMEOUT).await;
         });
     }
 }
 
-fn call(item: &Item, kept: Option<Revision>) -> StoreCall {
-    let value = rmp_serde::to_vec(item).expect("an item is plain data");
+fn write_call(item: &Item, kept: Option<Revision>) -> StoreCall {
+    let value = rmp_serde::to_vec(item).expect("an item is serializable");
     StoreCall::Commit(Transaction {
         conditions: vec![(KEPT_CONFIGURATION_KEY.to_owned(), kept)],
         writes: vec![Write {
@@ -82,7 +84,7 @@
     })
 }
 
-/// The item that is kept as `value`; `None` if that cannot be read, which the log tells.
+/// Decodes the kept item; logs a malformed one and returns `None`.
 pub fn decode(value: &[u8]) -> Option<Item> {
     let item = rmp_serde::from_slice(value);
     item.inspect_err(|error| {
--- a/crates/gateway/src/peers/members.rs
+++ b/crates/gateway/src/peers/members.rs
@@ -1,8 +1,8 @@
-//! The nodes that stand in the store, and which of them relay messages.
+//! The member nodes, and the choice of those that relay messages.
 //!
-//! Up to [`MESH_NODES`] nodes tell everybody everything themselves. More than
-//! that tell one *relay* of their zone, so that what a node sends and receives
-//! does not grow with the square of the nodes. Pure functions of the members,
+//! Up to [`MESH_NODES`] nodes send their messages to all others. Beyond that, each
+//! sends to one *relay* of its zone, so that the traffic of a node does not grow with
+//! the square of the number of nodes. The choice is a pure function of the members,
 //! which all nodes learn from the store.
 
 use std::cmp::Reverse;
@@ -15,25 +15,26 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::peers::times::COUNTED_FOR;
+use crate::peers::times::MEMBER_TIMEOUT;
 
-/// Nodes up to which everybody tells everybody. At this size a node sends 100
-/// datagrams a second at the shortest interval; beyond it, relays cost less.
+/// Maximum number of nodes that send messages directly to all others. At this size a
+/// node sends 100 datagrams a second at the shortest interval; beyond it, relays cost
+/// less.
 pub const MESH_NODES: usize = 40;
 
-/// What a node tells of itself in the store.
+/// A node's entry in the store, and what it states about itself in load messages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where it takes messages and followers.
+    /// The address on which the node receives messages and accepts followers.
     pub address: SocketAddr,
-    /// Megabits a second of its link.
+    /// Speed of the node's link in megabits per second.
     pub capacity: u32,
-    /// Its zone.
+    /// The node's zone.
     pub zone: Arc<str>,
 }
 
 impl MemberRecord {
-    /// The record of the node with these settings.
+    /// The record of the node that has these settings.
     pub fn of(settings: &NodeSettings) -> Self {
         Self {
             address: settings.peer_address,
@@ -43,13 +44,13 @@
     }
 }
 
-/// Place among a zone's nodes: faster links first, then by a hash.
-type Place<'a> = (Reverse<u32>, u64, &'a Arc<str>);
+/// Sort key among a zone's nodes: faster links first, then by a hash of the name.
+type RankKey<'a> = (Reverse<u32>, u64, &'a Arc<str>);
 
-/// Key of a node in messages.
+/// Short key of a node in messages: a hash of its name.
 pub type NodeKey = u32;
 
-/// The key of the node with this name.
+/// Returns the key of the node with this name.
 pub fn node_key(name: &str) -> NodeKey {
     rank("node", name) as NodeKey
 }
@@ -57,87 +58,92 @@
 /// A member as this node knows it.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What it told of itself.
+    /// The member's own statement of its address, link and zone.
     pub record: MemberRecord,
-    /// Whether it stands in the store.
-    pub stored: bool,
-    /// When there was a sign of it last.
-    pub seen: Instant,
+    /// Whether the store has an entry of the member.
+    pub in_store: bool,
+    /// When a message from the member, or its entry, was last received, directly or
+    /// through a relay.
+    pub last_seen: Instant,
 }
 
-/// All other nodes.
+/// All nodes but this one that have an entry in the store or were seen within
+/// [`MEMBER_TIMEOUT`].
 #[derive(Debug, Default)]
 pub struct Members {
     members: BTreeMap<Arc<str>, Member>,
     by_key: BTreeMap<NodeKey, Arc<str>>,
-    /// Times that a member came, went or told something new of itself.
+    /// Number of changes: members added, removed or with a new record.
     changes: u64,
-    /// The relays, as worked out after so many changes.
+    /// The relays, with the value of `changes` from which they were computed.
     relays: Option<(u64, Arc<[Arc<str>]>)>,
 }
 
 impl Members {
-    /// Takes in a sign of `name`; whether it was unknown.
-    pub fn saw(&mut self, name: Arc<str>, record: MemberRecord, stored: bool) -> bool {
+    /// Records that `name` was seen now, with its record; `in_store` if its entry in
+    /// the store was read. Returns whether the member is new.
+    pub fn record_seen(&mut self, name: Arc<str>, record: MemberRecord, in_store: bool) -> bool {
         let now = Instant::now();
         if let Some(member) = self.members.get_mut(&name) {
             if member.record != record {
                 member.record = record;
                 self.changes += 1;
             }
-            member.seen = now;
-            member.stored |= stored;
+            member.last_seen = now;
+            member.in_store |= in_store;
             return false;
         }
         self.changes += 1;
         self.by_key.insert(node_key(&name), name.clone());
         let member = Member {
             record,
-            stored,
-            seen: now,
+            in_store,
+            last_seen: now,
         };
         self.members.insert(name, member);
         true
     }
 
-    /// There was a sign of `name` at `at`, over a relay; its record, if it is a
-    /// member.
-    pub fn heard(&mut self, name: &str, at: Instant) -> Option<&MemberRecord> {
+    /// Records that `name` was seen at `at`, directly or through a relay. Returns its
+    /// record if it is a member.
+    pub fn mark_seen(&mut self, name: &str, at: Instant) -> Option<&MemberRecord> {
         let member = self.members.get_mut(name)?;
-        member.seen = member.seen.max(at);
+        member.last_seen = member.last_seen.max(at);
         Some(&member.record)
     }
 
-    /// The member no longer stands in the store.
-    pub fn left(&mut self, name: &str) {
+    /// Records that the store has no entry of `name` any more; the member stays until
+    /// it times out.
+    pub fn mark_removed(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name) {
-            member.stored = false;
+            member.in_store = false;
         }
     }
 
-    /// Only `names` stand in the store.
-    pub fn retain_stored(&mut self, names: &[Arc<str>]) {
+    /// Records that only `names` have an entry in the store.
+    pub fn retain_in_store(&mut self, names: &[Arc<str>]) {
         for (name, member) in &mut self.members {
-            member.stored &= names.contains(name);
+            member.in_store &= names.contains(name);
         }
     }
 
-    /// Forgets members that do not stand in the store and gave no sign lately.
-    pub fn forget_silent(&mut self) {
+    /// Drops members without an entry in the store that were not seen for
+    /// [`MEMBER_TIMEOUT`].
+    pub fn drop_unresponsive(&mut self) {
         let by_key = &mut self.by_key;
         let changes = &mut self.changes;
         self.members.retain(|name, member| {
-            let kept = member.stored || member.seen.elapsed() < COUNTED_FOR;
-            if !kept {
+            let is_kept = member.in_store || member.last_seen.elapsed() < MEMBER_TIMEOUT;
+            if !is_kept {
                 *changes += 1;
                 by_key.remove(&node_key(name));
             }
-            kept
+            is_kept
         });
     }
 
-    /// Times that a member came, went or told something new of itself: all that is
-    /// worked out from the members is the same as long as this is.
+    /// Number of changes to the members. Whatever is computed from the members stays
+    /// valid while this number is the same.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -147,31 +153,32 @@
         self.members.keys()
     }
 
-    /// Other nodes.
+    /// Number of other nodes.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether messages go over relays.
+    /// Whether there are so many nodes that messages go through relays.
     pub fn is_relayed(&self) -> bool {
         self.members.len() + 1 > MESH_NODES
     }
 
-    /// The member with this name.
+    /// Returns the member with this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// The member with this key.
+    /// Returns the name and the member for this key.
     pub fn by_key(&self, key: NodeKey) -> Option<(&Arc<str>, &Member)> {
         let name = self.by_key.get(&key)?;
         self.members.get_key_value(name)
     }
 
-    /// The relays of all zones, as long as all of them live: the square root of
-    /// the nodes in all, each zone by its part, those with faster links first.
-    /// `own` is this node, which may be one. Asked for several times a second and
-    /// worked out only after a change: ranking 985 members takes 0.1 ms.
+    /// Returns the relays of all zones: in total about the square root of the number of
+    /// nodes, shared among the zones by size, and in each zone the nodes with the
+    /// fastest links first. `own` is this node, which may be one of them. Called
+    /// several times a second but computed only after a change: ranking 985 members
+    /// takes 0.1 ms.
     pub fn relays(&mut self, own: (&Arc<str>, &MemberRecord)) -> Arc<[Arc<str>]> {
         if let Some((changes, relays)) = &self.relays
             && *changes == self.changes
@@ -185,18 +192,18 @@
 
     fn rank_relays(&self, own: (&Arc<str>, &MemberRecord)) -> Vec<Arc<str>> {
         let nodes = self.members.len() + 1;
-        let mut zones: BTreeMap<&str, Vec<Place<'_>>> = BTreeMap::new();
+        let mut zones: BTreeMap<&str, Vec<RankKey<'_>>> = BTreeMap::new();
         let others = self
             .members
             .iter()
             .map(|(name, member)| (name, &member.record));
         for (name, record) in others.chain([own]) {
-            let place = (
+            let rank_key = (
                 std::cmp::Reverse(record.capacity),
                 rank("relay", name),
                 name,
             );
-            zones.entry(&record.zone).or_default().push(place);
+            zones.entry(&record.zone).or_default().push(rank_key);
         }
         let mut relays = Vec::new();
         for mut zone in zones.into_values() {
@@ -208,16 +215,17 @@
         relays
     }
 
-    /// Whom the node `own` tells: relays of its zone before others, the same
-    /// node for as long as it lives; the first that `avoided` does not name.
-    pub fn relay_of(
+    /// Returns the relay to which the node `own` sends its load, without those that
+    /// `is_avoided` rejects. Relays of its own zone are preferred, and the choice stays
+    /// the same while that relay is a member.
+    pub fn choose_relay(
         &mut self,
         own: (&Arc<str>, &MemberRecord),
-        avoided: impl Fn(&str) -> bool,
+        is_avoided: impl Fn(&str) -> bool,
     ) -> Option<Arc<str>> {
-        let usable = |name: &&Arc<str>| **name != *own.0 && !avoided(name);
+        let is_usable = |name: &&Arc<str>| **name != *own.0 && !is_avoided(name);
         let relays = self.relays(own);
-        let relays: Vec<Arc<str>> = relays.iter().filter(usable).cloned().collect();
+        let relays: Vec<Arc<str>> = relays.iter().filter(is_usable).cloned().collect();
         let zone_of = |name: &Arc<str>| self.members.get(name).map(|member| &*member.record.zone);
         let (near, far): (Vec<Arc<str>>, Vec<Arc<str>>) = relays
             .into_iter()
--- a/crates/gateway/src/peers/members_tests.rs
+++ b/crates/gateway/src/peers/members_tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::{MESH_NODES, MemberRecord, Members};
-use crate::peers::times::COUNTED_FOR;
+use crate::peers::times::MEMBER_TIMEOUT;
 
 const NODES: u16 = 300;
 const ZONES: u16 = 5;
@@ -28,7 +28,7 @@
 fn members(own: u16, nodes: u16) -> Members {
     let mut members = Members::default();
     for number in (0..nodes).filter(|number| *number != own) {
-        members.saw(name(number), record(number), true);
+        members.record_seen(name(number), record(number), true);
     }
     members
 }
@@ -61,7 +61,7 @@
         let own_record = record(own);
         let mut members = members(own, NODES);
         let chosen = members
-            .relay_of((&name(own), &own_record), |_| false)
+            .choose_relay((&name(own), &own_record), |_| false)
             .expect("there are relays");
         assert_eq!(members.get(&chosen).unwrap().record.zone, own_record.zone);
         *nodes_of.entry(chosen).or_default() += 1;
@@ -70,16 +70,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_whose_relays_are_all_silent_tells_one_of_another_zone() {
+async fn a_node_whose_relays_are_all_unresponsive_uses_one_of_another_zone() {
     let own = 7;
     let mut members = members(own, NODES);
     let near: BTreeSet<Arc<str>> = (0..NODES)
         .filter(|number| record(*number).zone == record(own).zone)
         .map(name)
         .collect();
-    let silent = |name: &str| near.contains(name);
+    let is_unresponsive = |name: &str| near.contains(name);
     let chosen = members
-        .relay_of((&name(own), &record(own)), silent)
+        .choose_relay((&name(own), &record(own)), is_unresponsive)
         .unwrap();
     assert_ne!(members.get(&chosen).unwrap().record.zone, record(own).zone);
 }
@@ -91,23 +91,24 @@
     assert!(members(0, most + 1).is_relayed());
 }
 
-/// What all nodes may spend together is shared by their number: entries that lapse
-/// while the store is away must not make each node's share larger.
+/// Budgets that all nodes share are divided by their number: while the store is
+/// unreachable and entries expire, each node's share must not grow.
 #[tokio::test(start_paused = true)]
-async fn a_member_whose_entry_lapsed_is_counted_while_signs_of_it_come() {
+async fn a_member_whose_entry_expired_counts_while_it_is_seen() {
     let mut members = members(0, 50);
-    tokio::time::advance(COUNTED_FOR * 2).await;
-    members.retain_stored(&[]);
+    tokio::time::advance(MEMBER_TIMEOUT * 2).await;
+    members.retain_in_store(&[]);
     for number in 1..45 {
-        members.heard(&name(number), Instant::now());
+        members.mark_seen(&name(number), Instant::now());
     }
-    members.forget_silent();
+    members.drop_unresponsive();
     assert_eq!(members.len(), 44);
 }
 
-/// Relays are kept between two looks, so each change of the members must be seen.
+/// The relays are cached between two calls, so each change of the members must
+/// invalidate them.
 #[tokio::test(start_paused = true)]
-async fn a_relay_that_left_or_came_is_known_at_the_next_look() {
+async fn the_next_call_for_relays_follows_a_removed_or_added_member() {
     let own = 0;
     let mut members = members(own, NODES);
     let myself = (name(own), record(own));
@@ -118,11 +119,11 @@
         .unwrap()
         .clone();
     let number = (0..NODES).find(|number| name(*number) == gone).unwrap();
-    members.left(&gone);
-    tokio::time::advance(COUNTED_FOR * 2).await;
-    members.forget_silent();
+    members.mark_removed(&gone);
+    tokio::time::advance(MEMBER_TIMEOUT * 2).await;
+    members.drop_unresponsive();
     let without = members.relays((&myself.0, &myself.1));
     assert!(!without.contains(&gone));
-    members.saw(gone.clone(), record(number), true);
+    members.record_seen(gone.clone(), record(number), true);
     assert_eq!(members.relays((&myself.0, &myself.1)), before);
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other: load, demand, and what runners hold.
+//! Messages between nodes: load, demand, and the models loaded on runners.
 //!
-//! Datagrams, repeated: each makes the one before it needless, so losing some
-//! does no harm. Few nodes tell everybody; many tell a relay ([`members`]),
-//! which tells the others what all nodes together do ([`relay`]).
+//! Messages are datagrams that are repeated; each supersedes the previous one, so
+//! losing some does no harm. Few nodes send to all others; many send to a relay
+//! ([`members`]), which sends the sum over all nodes back ([`relay`]).
 
 mod members;
 mod relay;
@@ -23,14 +23,14 @@
 pub use members::MemberRecord;
 pub use relay::LoadSum;
 pub use task::PeerTask;
-pub use times::{demand_believed_for, longest_silence};
+pub use times::{demand_valid_for, longest_silence};
 
 enum Command {
-    Joined(Arc<str>, MemberRecord),
-    Left(Arc<str>),
-    Retain(Vec<Arc<str>>),
-    Publish(Vec<Inventory>),
-    Tell(Arc<str>, Box<Message>),
+    MemberWritten(Arc<str>, MemberRecord),
+    MemberRemoved(Arc<str>),
+    RetainMembers(Vec<Arc<str>>),
+    PublishInventories(Vec<Inventory>),
+    Send(Arc<str>, Box<Message>),
 }
 
 /// A handle to the peers task.
@@ -41,40 +41,44 @@
 }
 
 impl PeerHandle {
-    /// A member stands in the store.
-    pub fn joined(&self, name: &str, value: &[u8]) {
+    /// Reports that the store has an entry `value` of the member `name`; logs an
+    /// unreadable one.
+    pub fn member_written(&self, name: &str, value: &[u8]) {
         match rmp_serde::from_slice(value) {
-            Ok(record) => self.send(Command::Joined(name.into(), record)),
+            Ok(record) => self.send(Command::MemberWritten(name.into(), record)),
             Err(error) => {
                 tracing::warn!(event = "object_unreadable", key = name, %error);
             }
         }
     }
 
-    /// A member no longer stands in the store.
-    pub fn left(&self, name: &str) {
-        self.send(Command::Left(name.into()));
+    /// Reports that the store has no entry of the member `name` any more.
+    pub fn member_removed(&self, name: &str) {
+        self.send(Command::MemberRemoved(name.into()));
     }
 
-    /// Only `members` stand in the store.
-    pub fn retain(&self, members: &[&str]) {
+    /// Reports that only `members` have an entry in the store.
+    pub fn retain_members(&self, members: &[&str]) {
         let members = members.iter().map(|name| Arc::from(*name)).collect();
-        self.send(Command::Retain(members));
+        self.send(Command::RetainMembers(members));
     }
 
-    /// When each peer was last heard.
+    /// Returns the list of peers with the time at which each was last seen, and its
+    /// changes.
     pub fn heard(&self) -> watch::Receiver<HashMap<Arc<str>, Heard>> {
         self.heard.clone()
     }
 
-    /// Tells all nodes what runners hold.
-    pub fn publish(&self, inventories: Vec<Inventory>) {
-        self.send(Command::Publish(inventories));
+    /// Sends what is loaded on these runners to all nodes, through relays if there are
+    /// any.
+    pub fn publish_inventories(&self, inventories: Vec<Inventory>) {
+        self.send(Command::PublishInventories(inventories));
     }
 
-    /// Sends `message` to the node `name`, once.
+    /// Sends `message` to the node `name` once, without acknowledgement; does nothing
+    /// if it is no member.
     pub fn tell(&self, name: Arc<str>, message: Message) {
-        self.send(Command::Tell(name, Box::new(message)));
+        self.send(Command::Send(name, Box::new(message)));
     }
 
     fn send(&self, command: Command) {
@@ -83,17 +87,18 @@
     }
 }
 
-/// The last sign of a peer.
+/// When and how a peer was last seen, and how to reach it.
 #[derive(Debug, Clone)]
 pub struct Heard {
-    /// When it came.
+    /// When the last message from the peer arrived at this node or at a relay; without
+    /// one, when its entry in the store was first read.
     pub at: Instant,
-    /// Whether there was a message; else the peer only stands in the store, where
-    /// it stays for seconds after its end.
+    /// Whether a message from the peer was received. Otherwise only its entry in the
+    /// store is known, which stays there for seconds after the peer's end.
     pub told: bool,
-    /// Where the peer takes messages and followers.
+    /// The address on which the peer receives messages and accepts followers.
     pub address: SocketAddr,
-    /// Megabits a second of the peer's link.
+    /// Speed of the peer's link in megabits per second.
     pub capacity: u32,
     /// The peer's zone.
     pub zone: Arc<str>,
@@ -102,10 +107,10 @@
 /// Creates the handle; [`PeerTask::new`] takes the other end.
 pub fn channel() -> (PeerHandle, PeerInbox) {
     let (commands, inbox) = mpsc::unbounded_channel();
-    let (heard_sender, heard) = watch::channel(HashMap::new());
+    let (seen_sender, heard) = watch::channel(HashMap::new());
     (
         PeerHandle { commands, heard },
-        PeerInbox(inbox, heard_sender),
+        PeerInbox(inbox, seen_sender),
     )
 }
 
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,5 +1,5 @@
-//! What a relay sums up: the loads that nodes of its zone tell it, and the sums
-//! of other relays. A state machine without I/O.
+//! The sums that a relay computes, from the loads of the nodes that it serves and the
+//! sums of the other relays. A state machine without I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -11,116 +11,126 @@
 
 use crate::peers::members::{NodeKey, node_key};
 
-/// Time between two messages of a node to its relay, of a relay to the others,
-/// and of a relay to its nodes: what a node knows of the others' load is older
-/// than the load itself by at most three of these. A stream lasts for one to
-/// two seconds on the users' deployments.
+/// Time between two messages of a node to its relay, of a relay to the others, and of a
+/// relay to its nodes. What a node knows of the others' load is older than the load
+/// itself by at most three of these. A stream lasts for one to two seconds on the
+/// users' deployments.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(250);
-/// Silence of a node from which on its relay counts it no longer: four messages.
-pub const RELAYED_FOR: Duration = Duration::from_secs(1);
-/// Silence of a relay after which its nodes look for another: three messages.
-pub const RELAY_SILENCE: Duration = Duration::from_millis(750);
-
-/// When a node was heard by its relay.
+/// Time after the last message of a node, or of another relay, from which on a relay
+/// leaves its load out: four messages.
+pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time without a message from a relay after which its nodes choose another one: three
+/// messages.
+pub const RELAY_TIMEOUT: Duration = Duration::from_millis(750);
+
+/// The time at which a node was last seen, as its relay passes it on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sign {
-    /// The node.
+pub struct NodeSeen {
+    /// The key of the node.
     pub node: NodeKey,
-    /// Milliseconds since then.
+    /// Milliseconds since the node's last message.
     pub age_ms: u16,
 }
 
-/// Attempts in flight by runner, and the nodes whose they are.
+/// Attempts in flight by runner, summed over several nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadSum {
-    /// The counts, by runner.
+    /// Number of attempts in flight, by runner.
     pub in_flight: Vec<(RunnerKey, u32)>,
-    /// The nodes counted.
-    pub nodes: Vec<Sign>,
+    /// The nodes included in the sum; empty in most messages to save bytes.
+    pub nodes: Vec<NodeSeen>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct NodeLoad {
     at: Instant,
     in_flight: Vec<(RunnerKey, u32)>,
 }
 
 #[derive(Debug)]
-struct Summed {
+struct RelayLoad {
     at: Instant,
     sum: LoadSum,
 }
 
-/// The state of a node as a relay of others.
+/// The loads and sums that a node received as a relay; empty if it is none.
 #[derive(Debug, Default)]
 pub struct RelayState {
-    nodes: BTreeMap<Arc<str>, Told>,
-    relays: BTreeMap<Arc<str>, Summed>,
+    nodes: BTreeMap<Arc<str>, NodeLoad>,
+    relays: BTreeMap<Arc<str>, RelayLoad>,
 }
 
 impl RelayState {
-    /// Takes in what a node tells of its load.
-    pub fn told(&mut self, node: Arc<str>, in_flight: Vec<(RunnerKey, u32)>, now: Instant) {
-        let told = Told { at: now, in_flight };
-        self.nodes.insert(node, told);
+    /// Stores a node's load; it replaces the node's previous one.
+    pub fn set_node_load(
+        &mut self,
+        node: Arc<str>,
+        in_flight: Vec<(RunnerKey, u32)>,
+        now: Instant,
+    ) {
+        let load = NodeLoad { at: now, in_flight };
+        self.nodes.insert(node, load);
     }
 
-    /// Takes in the sum of another relay.
-    pub fn summed(&mut self, relay: Arc<str>, sum: LoadSum, now: Instant) {
-        self.relays.insert(relay, Summed { at: now, sum });
+    /// Stores the sum of another relay; it replaces that relay's previous one.
+    pub fn set_relay_sum(&mut self, relay: Arc<str>, sum: LoadSum, now: Instant) {
+        self.relays.insert(relay, RelayLoad { at: now, sum });
     }
 
-    /// Forgets nodes and relays that fell silent.
-    pub fn forget_silent(&mut self, now: Instant) {
-        let lately = |at: Instant| now.saturating_duration_since(at) < RELAYED_FOR;
-        self.nodes.retain(|_, told| lately(told.at));
-        self.relays.retain(|_, summed| lately(summed.at));
+    /// Drops nodes and relays whose last message is older than [`LOAD_TIMEOUT`].
+    pub fn drop_unresponsive(&mut self, now: Instant) {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < LOAD_TIMEOUT;
+        self.nodes.retain(|_, load| is_recent(load.at));
+        self.relays.retain(|_, relay_load| is_recent(relay_load.at));
     }
 
-    /// Nodes that this one relays for.
+    /// Nodes that this relay serves.
     pub fn nodes(&self) -> impl Iterator<Item = &Arc<str>> {
         self.nodes.keys()
     }
 
-    /// Relays that told their sums lately.
+    /// Other relays whose sums were received within [`LOAD_TIMEOUT`].
     pub fn relays(&self) -> impl Iterator<Item = &Arc<str>> {
         self.relays.keys()
     }
 
-    /// The sum over the nodes that this one relays for.
+    /// Returns the sum over the nodes that this relay serves.
     pub fn own_sum(&self, now: Instant) -> LoadSum {
-        let loads = self.nodes.values().map(|told| &told.in_flight);
-        let signs = self.nodes.iter().map(|(name, told)| Sign {
+        let loads = self.nodes.values().map(|load| &load.in_flight);
+        let nodes = self.nodes.iter().map(|(name, load)| NodeSeen {
             node: node_key(name),
-            age_ms: whole_milliseconds(now.saturating_duration_since(told.at)),
+            age_ms: milliseconds_or_max(now.saturating_duration_since(load.at)),
         });
         LoadSum {
-            in_flight: add(loads),
-            nodes: signs.collect(),
+            in_flight: sum_loads(loads),
+            nodes: nodes.collect(),
         }
     }
 
-    /// The sum over all nodes of all relays.
-    pub fn whole_sum(&self, now: Instant) -> LoadSum {
+    /// Returns the sum over all nodes of all relays.
+    pub fn fleet_sum(&self, now: Instant) -> LoadSum {
         let own = self.own_sum(now);
-        let others = self.relays.values().map(|summed| &summed.sum.in_flight);
+        let others = self
+            .relays
+            .values()
+            .map(|relay_load| &relay_load.sum.in_flight);
         let mut nodes = own.nodes;
-        for summed in self.relays.values() {
-            let since = whole_milliseconds(now.saturating_duration_since(summed.at));
-            nodes.extend(summed.sum.nodes.iter().map(|sign| Sign {
-                node: sign.node,
-                age_ms: sign.age_ms.saturating_add(since),
+        for relay_load in self.relays.values() {
+            let since = milliseconds_or_max(now.saturating_duration_since(relay_load.at));
+            nodes.extend(relay_load.sum.nodes.iter().map(|node| NodeSeen {
+                node: node.node,
+                age_ms: node.age_ms.saturating_add(since),
             }));
         }
         LoadSum {
-            in_flight: add(others.chain([&own.in_flight])),
+            in_flight: sum_loads(others.chain([&own.in_flight])),
             nodes,
         }
     }
 }
 
-/// The sum of several loads, in the order of the runners' keys.
-fn add<'a>(loads: impl Iterator<Item = &'a Vec<(RunnerKey, u32)>>) -> Vec<(RunnerKey, u32)> {
+/// Adds up several loads; the result is sorted by the runners' keys.
+fn sum_loads<'a>(loads: impl Iterator<Item = &'a Vec<(RunnerKey, u32)>>) -> Vec<(RunnerKey, u32)> {
     let mut sums: HashMap<RunnerKey, u32> = HashMap::new();
     for (key, count) in loads.flatten() {
         *sums.entry(*key).or_default() += count;
@@ -130,10 +140,14 @@
     sums
 }
 
-/// `whole` without what this node itself told before.
-pub fn without(whole: Vec<(RunnerKey, u32)>, own: &[(RunnerKey, u32)]) -> Vec<(RunnerKey, u32)> {
+/// Subtracts a node's own load from the fleet's, which includes it; leaves out runners
+/// without other load.
+pub fn subtract_load(
+    fleet: Vec<(RunnerKey, u32)>,
+    own: &[(RunnerKey, u32)],
+) -> Vec<(RunnerKey, u32)> {
     let own: HashMap<RunnerKey, u32> = own.iter().copied().collect();
-    whole
+    fleet
         .into_iter()
         .map(|(key, count)| {
             let own = own.get(&key).copied().unwrap_or(0);
@@ -143,7 +157,7 @@
         .collect()
 }
 
-fn whole_milliseconds(age: Duration) -> u16 {
+fn milliseconds_or_max(age: Duration) -> u16 {
     u16::try_from(age.as_millis()).unwrap_or(u16::MAX)
 }
 
--- a/crates/gateway/src/peers/relaying.rs
+++ b/crates/gateway/src/peers/relaying.rs
@@ -1,4 +1,5 @@
-//! The part of the peers task that goes over relays: telling one, and being one.
+//! The part of the peers task that uses relays: sending this node's load to one, and
+//! acting as one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,91 +11,105 @@
 use crate::messages::{Message, News};
 use crate::peers::LoadSum;
 use crate::peers::members::NodeKey;
-use crate::peers::relay::{RELAY_INTERVAL, RELAY_SILENCE, without};
+use crate::peers::relay::{RELAY_INTERVAL, RELAY_TIMEOUT, subtract_load};
 use crate::peers::task::{ChosenRelay, PeerTask};
-use crate::peers::times::{BELIEVED_MESSAGES, RELAY_AVOIDED_FOR, SIGNS_EVERY};
+use crate::peers::times::{NODE_LIST_EVERY, RELAY_AVOIDED_FOR, VALID_INTERVALS};
 
-/// Name under which the dispatcher keeps what relays say.
+/// Name under which the dispatcher stores the load that relays report.
 const FLEET: &str = "fleet";
-/// Time for which what relays say of the whole fleet is believed: twice that of
-/// one message's way, so that a change of relay leaves no gap.
-const FLEET_BELIEVED_FOR: Duration = RELAY_INTERVAL.saturating_mul(2 * BELIEVED_MESSAGES);
+/// Time for which the fleet's load from a relay is valid: twice that of a single
+/// message, so that a change of relay leaves no gap.
+const FLEET_VALID_FOR: Duration = RELAY_INTERVAL.saturating_mul(2 * VALID_INTERVALS);
 
 impl PeerTask {
     pub(super) fn receive_sum(&mut self, relay: Arc<str>, sum: LoadSum) {
         let now = Instant::now();
-        let signs = self.signs(&sum, now);
-        self.hear(signs);
-        self.hear([(relay.clone(), now)]);
-        self.relay.summed(relay, sum, now);
+        let seen = self.seen_nodes(&sum, now);
+        self.record_messages(seen);
+        self.record_messages([(relay.clone(), now)]);
+        self.relay.set_relay_sum(relay, sum, now);
     }
 
     pub(super) fn receive_fleet(&mut self, relay: &Arc<str>, sum: LoadSum) {
         let now = Instant::now();
-        let Some(chosen) = self.chosen.as_mut().filter(|chosen| chosen.name == *relay) else {
+        let Some(chosen) = self
+            .chosen_relay
+            .as_mut()
+            .filter(|chosen| chosen.name == *relay)
+        else {
             return;
         };
-        chosen.heard = now;
-        let signs = self.signs(&sum, now);
-        self.hear(signs);
-        self.hear([(relay.clone(), now)]);
-        self.take_fleet(sum);
+        chosen.last_message_at = now;
+        let seen = self.seen_nodes(&sum, now);
+        self.record_messages(seen);
+        self.record_messages([(relay.clone(), now)]);
+        self.apply_fleet_load(sum);
     }
 
-    /// Takes in what all nodes together have in flight.
-    pub(super) fn take_fleet(&self, sum: LoadSum) {
-        let others = without(sum.in_flight, &self.told);
+    /// Passes the attempts in flight of all nodes, without this node's own, to the
+    /// dispatcher.
+    pub(super) fn apply_fleet_load(&self, sum: LoadSum) {
+        let others = subtract_load(sum.in_flight, &self.sent_load);
         self.context
             .dispatch
-            .set_peer_load(FLEET.into(), others, FLEET_BELIEVED_FOR);
+            .set_peer_load(FLEET.into(), others, FLEET_VALID_FOR);
     }
 
-    /// When the nodes that `sum` counts gave their last signs.
-    pub(super) fn signs(&self, sum: &LoadSum, now: Instant) -> Vec<(Arc<str>, Instant)> {
+    /// Returns when the nodes included in `sum` were last seen.
+    pub(super) fn seen_nodes(&self, sum: &LoadSum, now: Instant) -> Vec<(Arc<str>, Instant)> {
         let at = |age_ms: u16| now.checked_sub(Duration::from_millis(age_ms.into()));
         let known = |node: NodeKey| Some(self.members.by_key(node)?.0.clone());
         sum.nodes
             .iter()
-            .filter_map(|sign| Some((known(sign.node)?, at(sign.age_ms)?)))
+            .filter_map(|node| Some((known(node.node)?, at(node.age_ms)?)))
             .collect()
     }
 
-    /// Tells this node's load its relay; another one if that one is silent.
-    pub(super) async fn tell_relay(
+    /// Sends this node's load to its relay; chooses another relay if that one is
+    /// unresponsive.
+    pub(super) async fn send_load_to_relay(
         &mut self,
         in_flight: Vec<(RunnerKey, u32)>,
-        news: News,
+        updates: News,
         now: Instant,
     ) {
-        self.avoided.retain(|_, until| now < *until);
-        if let Some(chosen) = &self.chosen
-            && now.saturating_duration_since(chosen.heard) > RELAY_SILENCE
+        self.avoided_relays.retain(|_, until| now < *until);
+        if let Some(chosen) = &self.chosen_relay
+            && now.saturating_duration_since(chosen.last_message_at) > RELAY_TIMEOUT
         {
             tracing::info!(event = "relay_silent", relay = &*chosen.name);
             let until = now + RELAY_AVOIDED_FOR;
-            self.avoided.insert(chosen.name.clone(), until);
+            self.avoided_relays.insert(chosen.name.clone(), until);
         }
         let own = (&self.context.settings.name, &self.own);
-        let avoided = |name: &str| self.avoided.contains_key(name);
-        let Some(name) = self.members.relay_of(own, avoided) else {
+        let is_avoided = |name: &str| self.avoided_relays.contains_key(name);
+        let Some(name) = self.members.choose_relay(own, is_avoided) else {
             return;
         };
         if self
-            .chosen
+            .chosen_relay
             .as_ref()
             .is_none_or(|chosen| chosen.name != name)
         {
             tracing::info!(event = "relay_chosen", relay = &*name);
             let name = name.clone();
-            self.chosen = Some(ChosenRelay { name, heard: now });
+            self.chosen_relay = Some(ChosenRelay {
+                name,
+                last_message_at: now,
+            });
         }
-        self.told = in_flight.clone();
-        self.tell_load(in_flight, news, vec![name]).await;
+        self.sent_load = in_flight.clone();
+        self.send_load_to(in_flight, updates, vec![name]).await;
     }
 
-    /// As a relay: tells other relays what this one's nodes have in flight, and
-    /// these nodes what all have.
-    pub(super) async fn relay_loads(&mut self, relays: &[Arc<str>], news: News, now: Instant) {
+    /// As a relay: sends the sum over this relay's nodes to the other relays, and the
+    /// sum over all nodes to this relay's nodes.
+    pub(super) async fn send_relay_sums(
+        &mut self,
+        relays: &[Arc<str>],
+        updates: News,
+        now: Instant,
+    ) {
         if self.relay.nodes().next().is_none() {
             return;
         }
@@ -110,32 +125,33 @@
         let message = Message::RelaySum {
             relay,
             sum,
-            news: news.clone(),
+            news: updates.clone(),
         };
         self.send_to(&message, others.iter()).await;
-        let mut sum = self.relay.whole_sum(now);
+        let mut sum = self.relay.fleet_sum(now);
         let is_relay = self.relay.nodes().any(|node| *node == name);
         if is_relay {
-            self.take_fleet(sum.clone());
+            self.apply_fleet_load(sum.clone());
         }
         self.rounds = self.rounds.wrapping_add(1);
-        if !self.rounds.is_multiple_of(SIGNS_EVERY) {
+        if !self.rounds.is_multiple_of(NODE_LIST_EVERY) {
             sum.nodes.clear();
         }
         let message = Message::Fleet {
             relay: name,
             sum,
-            news,
+            news: updates,
         };
         let nodes: Vec<Arc<str>> = self.relay.nodes().cloned().collect();
         self.send_to(&message, nodes.iter()).await;
     }
 
-    /// Sends what runners hold to all nodes, over relays if there are any.
-    pub(super) async fn publish(&mut self, inventories: Vec<Inventory>) {
+    /// Sends what is loaded on these runners to all nodes, through relays if there are
+    /// any.
+    pub(super) async fn publish_inventories(&mut self, inventories: Vec<Inventory>) {
         if !self.members.is_relayed() {
-            let everybody: Vec<Arc<str>> = self.members.names().cloned().collect();
-            return self.send_held(inventories, true, &everybody).await;
+            let others: Vec<Arc<str>> = self.members.names().cloned().collect();
+            return self.send_inventories(inventories, true, &others).await;
         }
         let own = (&self.context.settings.name, &self.own);
         let relays: BTreeSet<Arc<str>> = self
@@ -146,17 +162,18 @@
             .cloned()
             .collect();
         let relays: Vec<Arc<str>> = relays.into_iter().collect();
-        self.send_held(inventories.clone(), false, &relays).await;
-        self.pass_on(inventories).await;
+        self.send_inventories(inventories.clone(), false, &relays)
+            .await;
+        self.forward_inventories(inventories).await;
     }
 
-    /// As a relay: sends what runners hold to this one's nodes.
-    pub(super) async fn pass_on(&mut self, inventories: Vec<Inventory>) {
+    /// As a relay: sends what is loaded on these runners to this relay's nodes.
+    pub(super) async fn forward_inventories(&mut self, inventories: Vec<Inventory>) {
         let nodes: Vec<Arc<str>> = self.relay.nodes().cloned().collect();
-        self.send_held(inventories, true, &nodes).await;
+        self.send_inventories(inventories, true, &nodes).await;
     }
 
-    pub(super) async fn send_held(
+    pub(super) async fn send_inventories(
         &self,
         inventories: Vec<Inventory>,
         passed_on: bool,
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the socket and the list of members.
+//! The task that owns the datagram socket and the list of members.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,42 +15,46 @@
 use crate::peers::members::Members;
 use crate::peers::relay::{RELAY_INTERVAL, RelayState};
 use crate::peers::times::{
-    BELIEVED_MESSAGES, COUNTED_FOR, SHORTEST_INTERVAL, URGENT_INTERVAL, demand_interval,
+    MEMBER_TIMEOUT, MIN_INTERVAL, URGENT_INTERVAL, VALID_INTERVALS, demand_interval,
 };
 use crate::peers::{Command, Heard, MemberRecord, PeerInbox};
 use crate::placement::{LeaderRecord, PlacementHandle};
 
-/// Time after which others are told of a request in quarantine, so that one message tells
-/// of several.
-const QUARANTINE_TOLD_AFTER: Duration = Duration::from_millis(10);
-/// Largest datagram that is read.
+/// Delay before other nodes are notified of a quarantined request, so that one message
+/// covers several.
+const QUARANTINE_DELAY: Duration = Duration::from_millis(10);
+/// Buffer size in bytes for a received datagram.
 const RECEIVE_BYTES: usize = 64 * 1024;
 
-/// The relay that this node tells its load.
+/// The relay to which this node sends its load.
 #[derive(Debug)]
 pub(super) struct ChosenRelay {
     pub(super) name: Arc<str>,
-    /// When it was told first, or told us last.
-    pub(super) heard: Instant,
+    /// When the relay last sent a message; before its first one, when it was chosen.
+    pub(super) last_message_at: Instant,
 }
 
-/// The task that owns the socket and the list of members.
+/// Owns the datagram socket and the list of members; sends and receives the messages
+/// between nodes.
 pub struct PeerTask {
     pub(super) context: Context,
     socket: Box<dyn Datagrams>,
     pub(super) own: MemberRecord,
     pub(super) members: Members,
-    /// The members' changes when the others were told of them last.
-    counted: Option<u64>,
+    /// The members' change count at which the dispatcher and the metrics were last
+    /// updated; `None` before the first time.
+    published_changes: Option<u64>,
     pub(super) relay: RelayState,
-    pub(super) chosen: Option<ChosenRelay>,
-    pub(super) avoided: BTreeMap<Arc<str>, Instant>,
-    /// What this node told its relay last.
-    pub(super) told: Vec<(RunnerKey, u32)>,
-    /// Messages of this relay to its nodes so far.
+    pub(super) chosen_relay: Option<ChosenRelay>,
+    pub(super) avoided_relays: BTreeMap<Arc<str>, Instant>,
+    /// This node's load as its relay last received it, which the fleet's load therefore
+    /// includes.
+    pub(super) sent_load: Vec<(RunnerKey, u32)>,
+    /// Messages that this relay has sent to its nodes so far; wraps around.
     pub(super) rounds: u32,
-    /// Messages with news of this node so far.
-    news_round: usize,
+    /// Messages with updates that this node has sent so far; selects which quarantined
+    /// requests the next one names.
+    update_round: usize,
     quarantine: watch::Receiver<Quarantine>,
     leader: watch::Receiver<Option<LeaderRecord>>,
     placement: PlacementHandle,
@@ -60,7 +64,9 @@
 }
 
 impl PeerTask {
-    /// A task on `socket`.
+    /// Creates a task that uses `socket`. It sends demand to the leader, or to
+    /// `placement` if this node leads; `urgent` is notified when demand is to be sent
+    /// at once.
     pub fn new(
         context: Context,
         socket: Box<dyn Datagrams>,
@@ -75,13 +81,13 @@
             context,
             socket,
             members: Members::default(),
-            counted: None,
+            published_changes: None,
             relay: RelayState::default(),
-            chosen: None,
-            avoided: BTreeMap::new(),
-            told: Vec::new(),
+            chosen_relay: None,
+            avoided_relays: BTreeMap::new(),
+            sent_load: Vec::new(),
             rounds: 0,
-            news_round: 0,
+            update_round: 0,
             leader,
             placement,
             urgent,
@@ -96,7 +102,7 @@
         let mut next_load = Instant::now();
         let mut next_demand = Instant::now();
         let mut next_urgent = Instant::now();
-        let mut demand_wanted = false;
+        let mut demand_due = false;
         loop {
             let urgent = self.urgent.clone();
             let leader = &mut self.leader;
@@ -108,15 +114,16 @@
                     }
                 }
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command).await,
+                    Some(command) => self.handle_command(command).await,
                     None => return,
                 },
-                () = urgent.notified() => demand_wanted = true,
-                // A new leader knows of no demand yet.
-                Ok(()) = leader.changed() => demand_wanted = true,
-                // What crashes runners comes again at another node within a moment.
+                () = urgent.notified() => demand_due = true,
+                // A new leader has received no demand yet.
+                Ok(()) = leader.changed() => demand_due = true,
+                // A request that crashes runners is repeated through another node
+                // within a moment.
                 Ok(()) = quarantine.changed() => {
-                    next_load = next_load.min(Instant::now() + QUARANTINE_TOLD_AFTER);
+                    next_load = next_load.min(Instant::now() + QUARANTINE_DELAY);
                 }
                 () = tokio::time::sleep_until(next_load) => {
                     self.send_load().await;
@@ -126,8 +133,8 @@
                     self.send_demand().await;
                     next_demand = Instant::now() + demand_interval(self.nodes());
                 }
-                () = tokio::time::sleep_until(next_urgent), if demand_wanted => {
-                    demand_wanted = false;
+                () = tokio::time::sleep_until(next_urgent), if demand_due => {
+                    demand_due = false;
                     self.send_demand().await;
                     next_urgent = Instant::now() + URGENT_INTERVAL;
                 }
@@ -143,7 +150,7 @@
         if self.members.is_relayed() {
             RELAY_INTERVAL
         } else {
-            SHORTEST_INTERVAL
+            MIN_INTERVAL
         }
     }
 
@@ -155,28 +162,28 @@
                 in_flight,
                 news,
             }) => {
-                self.hear_news(news);
+                self.apply_updates(news);
                 self.receive_load(node, record, in_flight);
             }
             Some(Message::RelaySum { relay, sum, news }) => {
-                self.hear_news(news);
+                self.apply_updates(news);
                 self.receive_sum(relay, sum);
             }
             Some(Message::Fleet { relay, sum, news }) => {
-                self.hear_news(news);
+                self.apply_updates(news);
                 self.receive_fleet(&relay, sum);
             }
             Some(Message::Demand {
                 node,
                 items,
                 unreachable,
-            }) => self.placement.demand(node, items, unreachable),
+            }) => self.placement.report_demand(node, items, unreachable),
             Some(Message::Held {
                 inventories,
                 passed_on,
             }) => {
                 if !passed_on {
-                    self.pass_on(inventories.clone()).await;
+                    self.forward_inventories(inventories.clone()).await;
                 }
                 for inventory in inventories {
                     self.context.dispatch.update_models(inventory);
@@ -190,20 +197,20 @@
         }
     }
 
-    fn hear_news(&self, news: News) {
-        self.context.dispatch.hear_limits(news.limits);
-        self.context.dispatch.hear_leaving_news(news.leaving);
-        self.context.crashes.hear(news.quarantined);
+    fn apply_updates(&self, updates: News) {
+        self.context.dispatch.hear_limits(updates.limits);
+        self.context.dispatch.hear_leaving_news(updates.leaving);
+        self.context.crashes.hear(updates.quarantined);
     }
 
-    /// What this node tells on in its next message.
-    fn news(&mut self, limits: Vec<LimitNews>, leaving: Vec<LeavingNews>) -> News {
-        self.news_round = self.news_round.wrapping_add(1);
+    /// Returns the updates for this node's next message.
+    fn next_updates(&mut self, limits: Vec<LimitNews>, leaving: Vec<LeavingNews>) -> News {
+        self.update_round = self.update_round.wrapping_add(1);
         let now = Instant::now().into_std();
         News {
             limits,
             leaving,
-            quarantined: self.quarantine.borrow().news(self.news_round, now),
+            quarantined: self.quarantine.borrow().news(self.update_round, now),
         }
     }
 
@@ -216,79 +223,85 @@
         if node == self.context.settings.name {
             return;
         }
-        if self.members.saw(node.clone(), record, false) {
-            self.count();
+        if self.members.record_seen(node.clone(), record, false) {
+            self.refresh_members();
         }
         let now = Instant::now();
-        self.hear([(node.clone(), now)]);
+        self.record_messages([(node.clone(), now)]);
         if self.members.is_relayed() {
-            self.relay.told(node, in_flight, now);
+            self.relay.set_node_load(node, in_flight, now);
         } else {
-            let believed_for = SHORTEST_INTERVAL * BELIEVED_MESSAGES;
+            let valid_for = MIN_INTERVAL * VALID_INTERVALS;
             self.context
                 .dispatch
-                .set_peer_load(node, in_flight, believed_for);
+                .set_peer_load(node, in_flight, valid_for);
         }
     }
 
-    /// Notes when members were heard last.
-    pub(super) fn hear(&mut self, signs: impl IntoIterator<Item = (Arc<str>, Instant)>) {
-        self.note(signs, true);
+    /// Records when members sent their last messages.
+    pub(super) fn record_messages(&mut self, seen: impl IntoIterator<Item = (Arc<str>, Instant)>) {
+        self.record_seen(seen, true);
     }
 
-    /// Notes signs of members: messages (`told`), or entries in the store.
-    fn note(&mut self, signs: impl IntoIterator<Item = (Arc<str>, Instant)>, told: bool) {
+    /// Records when members were last seen, in messages (`by_message`) or by their
+    /// entries in the store.
+    fn record_seen(
+        &mut self,
+        seen: impl IntoIterator<Item = (Arc<str>, Instant)>,
+        by_message: bool,
+    ) {
         let members = &mut self.members;
         self.heard.send_modify(|heard| {
-            for (name, at) in signs {
-                let Some(record) = members.heard(&name, at) else {
+            for (name, at) in seen {
+                let Some(record) = members.mark_seen(&name, at) else {
                     continue;
                 };
                 let known = heard.get(&name);
-                let sign = Heard {
+                let status = Heard {
                     at: known.map_or(at, |known| known.at.max(at)),
-                    told: told || known.is_some_and(|known| known.told),
+                    told: by_message || known.is_some_and(|known| known.told),
                     address: record.address,
                     capacity: record.capacity,
                     zone: record.zone.clone(),
                 };
-                heard.insert(name, sign);
+                heard.insert(name, status);
             }
         });
     }
 
-    async fn command(&mut self, command: Command) {
+    async fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Joined(name, record) => self.joined(name, record),
-            Command::Left(name) => self.members.left(&name),
-            Command::Retain(names) => self.members.retain_stored(&names),
-            Command::Publish(inventories) => self.publish(inventories).await,
-            Command::Tell(name, message) => self.send_to(&message, [name].iter()).await,
+            Command::MemberWritten(name, record) => self.member_written(name, record),
+            Command::MemberRemoved(name) => self.members.mark_removed(&name),
+            Command::RetainMembers(names) => self.members.retain_in_store(&names),
+            Command::PublishInventories(inventories) => self.publish_inventories(inventories).await,
+            Command::Send(name, message) => self.send_to(&message, [name].iter()).await,
         }
     }
 
-    /// Takes in a member's entry in the store. One that was unknown counts as
-    /// heard: at a start of all nodes, each then knows whom to follow and who is
-    /// to lead before the first messages have come.
-    fn joined(&mut self, name: Arc<str>, record: MemberRecord) {
+    /// Records a member's entry in the store. A new member counts as seen now: when all
+    /// nodes start, each then knows which peer to follow and who may lead before the
+    /// first messages arrive.
+    fn member_written(&mut self, name: Arc<str>, record: MemberRecord) {
         if name == self.context.settings.name {
             return;
         }
-        if self.members.saw(name.clone(), record, true) {
-            self.note([(name, Instant::now())], false);
-            self.count();
+        if self.members.record_seen(name.clone(), record, true) {
+            self.record_seen([(name, Instant::now())], false);
+            self.refresh_members();
         }
     }
 
-    /// Forgets members without a sign of life and counts the rest.
-    fn count(&mut self) {
-        self.members.forget_silent();
+    /// Drops members that timed out, and updates the dispatcher and the metrics if the
+    /// members changed.
+    fn refresh_members(&mut self) {
+        self.members.drop_unresponsive();
         self.heard
-            .send_modify(|heard| heard.retain(|_, peer| peer.at.elapsed() < COUNTED_FOR));
-        if self.counted == Some(self.members.changes()) {
+            .send_modify(|heard| heard.retain(|_, peer| peer.at.elapsed() < MEMBER_TIMEOUT));
+        if self.published_changes == Some(self.members.changes()) {
             return;
         }
-        self.counted = Some(self.members.changes());
+        self.published_changes = Some(self.members.changes());
         let own = self.context.settings.name.clone();
         let members: Vec<Arc<str>> = self.members.names().cloned().chain([own]).collect();
         self.context.metrics.nodes(members.len());
@@ -296,46 +309,48 @@
     }
 
     async fn send_load(&mut self) {
-        self.count();
+        self.refresh_members();
         let Some(snapshot) = self.context.dispatch.snapshot().await else {
             return;
         };
-        let news = self.news(snapshot.limits, snapshot.leaving);
+        let updates = self.next_updates(snapshot.limits, snapshot.leaving);
         if !self.members.is_relayed() {
-            let everybody = self.members.names().cloned().collect();
-            return self.tell_load(snapshot.load, news, everybody).await;
+            let others = self.members.names().cloned().collect();
+            return self.send_load_to(snapshot.load, updates, others).await;
         }
         let now = Instant::now();
-        self.relay.forget_silent(now);
+        self.relay.drop_unresponsive(now);
         let relays = self
             .members
             .relays((&self.context.settings.name, &self.own));
         if relays.contains(&self.context.settings.name) {
             let name = self.context.settings.name.clone();
-            self.relay.told(name, snapshot.load.clone(), now);
-            self.told = snapshot.load;
+            self.relay.set_node_load(name, snapshot.load.clone(), now);
+            self.sent_load = snapshot.load;
         } else {
-            self.tell_relay(snapshot.load, news.clone(), now).await;
+            self.send_load_to_relay(snapshot.load, updates.clone(), now)
+                .await;
         }
-        self.relay_loads(&relays, news, now).await;
+        self.send_relay_sums(&relays, updates, now).await;
     }
 
-    pub(super) async fn tell_load(
+    pub(super) async fn send_load_to(
         &mut self,
         in_flight: Vec<(RunnerKey, u32)>,
-        news: News,
+        updates: News,
         to: Vec<Arc<str>>,
     ) {
         let message = Message::Load {
             node: self.context.settings.name.clone(),
             record: self.own.clone(),
             in_flight,
-            news,
+            news: updates,
         };
         self.send_to(&message, to.iter()).await;
     }
 
-    /// Sends demand to the leader.
+    /// Sends this node's demand to the leader; if this node leads, to its placement
+    /// task.
     async fn send_demand(&mut self) {
         let leader = self.leader.borrow().clone();
         let Some(leader) = leader else {
@@ -347,7 +362,7 @@
         let node = self.context.settings.name.clone();
         if leader.node == node {
             self.placement
-                .demand(node, snapshot.demand, snapshot.unreachable);
+                .report_demand(node, snapshot.demand, snapshot.unreachable);
             return;
         }
         let message = Message::Demand {
@@ -355,15 +370,14 @@
             items: snapshot.demand,
             unreachable: snapshot.unreachable,
         };
-        // A datagram that cannot be sent is one that is lost: the next one
-        // makes it needless.
+        // A datagram that cannot be sent counts as lost; the next one supersedes it.
         let _ = self.socket.send(&message.encode(), leader.address).await;
     }
 
     pub(super) async fn send_to(&self, message: &Message, names: impl Iterator<Item = &Arc<str>>) {
         let bytes = message.encode();
         for member in names.filter_map(|name| self.members.get(name)) {
-            // As above: a lost datagram does no harm.
+            // As in `send_demand`: a lost datagram does no harm.
             let _ = self.socket.send(&bytes, member.record.address).await;
         }
     }
--- a/crates/gateway/src/peers/times.rs
+++ b/crates/gateway/src/peers/times.rs
@@ -1,50 +1,53 @@
-//! How often nodes tell each other what, and how long it is believed.
-//!
-//! All that depends on the number of nodes is worked out here.
+//! Intervals and timeouts of the messages between nodes, including all that depend on
+//! the number of nodes.
 
 use std::time::Duration;
 
 use crate::peers::members::MESH_NODES;
 
-/// Time between two messages to each peer, and between two messages of demand
-/// to the leader, at the least.
-pub const SHORTEST_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two messages of demand for each node: the leader takes in at most
-/// 300 a second, a percent of a core.
+/// Minimum time between two load messages to each peer, and between two regular demand
+/// messages to the leader.
+pub const MIN_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two demand messages of a node, per node of the fleet: the leader
+/// handles at most 300 a second, a percent of a core.
 const DEMAND_INTERVAL_PER_NODE: Duration = Duration::from_micros(3400);
-/// Time between two messages of demand when requests begin to wait.
+/// Minimum time between two demand messages while requests begin to wait.
 pub const URGENT_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for which a member is counted after the last sign of it.
-pub const COUNTED_FOR: Duration = Duration::from_secs(15);
-/// Silence of a peer that may be thought to be gone, where all tell all: three
-/// messages.
-const MESH_SILENCE: Duration = Duration::from_millis(1300);
-/// The same where signs of peers come over relays: what is known of one is up to
-/// 0.75 s old, with two messages lost 1.5 s.
-const RELAYED_SILENCE: Duration = Duration::from_millis(1600);
-/// Messages in whose time the next one must have come: one may be lost, and the
-/// next one late.
-pub const BELIEVED_MESSAGES: u32 = 3;
-/// Messages of a relay to its nodes of which one names the nodes heard.
-pub const SIGNS_EVERY: u32 = 2;
-/// Time for which a silent relay is not chosen again.
+/// Time for which a member without an entry in the store counts after it was last seen.
+pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time without a message after which a peer may be gone, where all nodes send to all:
+/// three messages.
+const MESH_TIMEOUT: Duration = Duration::from_millis(1300);
+/// The same where peers are seen through relays: the age of what is known of one is up
+/// to 0.75 s, with two messages lost 1.5 s.
+const RELAYED_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Number of intervals for which a message is valid: the next one may be lost, and the
+/// one after it late.
+pub const VALID_INTERVALS: u32 = 3;
+/// Every how many messages from a relay to its nodes one lists the nodes included in
+/// the sum.
+pub const NODE_LIST_EVERY: u32 = 2;
+/// Time for which an unresponsive relay is not chosen again.
 pub const RELAY_AVOIDED_FOR: Duration = Duration::from_secs(2);
 
-/// Time between two messages of demand to the leader among `nodes` nodes.
+/// Returns the time between two demand messages of a node to the leader, if there are
+/// `nodes` nodes.
 pub fn demand_interval(nodes: u32) -> Duration {
-    SHORTEST_INTERVAL.max(DEMAND_INTERVAL_PER_NODE * nodes)
+    MIN_INTERVAL.max(DEMAND_INTERVAL_PER_NODE * nodes)
 }
 
-/// Time for which the leader believes the demand of one of `nodes` nodes.
-pub fn demand_believed_for(nodes: u32) -> Duration {
-    demand_interval(nodes) * BELIEVED_MESSAGES
+/// Returns the time for which the leader uses a demand message, if there are `nodes`
+/// nodes.
+pub fn demand_valid_for(nodes: u32) -> Duration {
+    demand_interval(nodes) * VALID_INTERVALS
 }
 
-/// Silence after which one of `nodes` nodes may be thought to be gone.
+/// Returns the time without a message after which a node may be considered gone, if
+/// there are `nodes` nodes.
 pub fn longest_silence(nodes: u32) -> Duration {
     if nodes as usize > MESH_NODES {
-        RELAYED_SILENCE
+        RELAYED_TIMEOUT
     } else {
-        MESH_SILENCE
+        MESH_TIMEOUT
     }
 }
--- a/crates/gateway/src/placement/inventories.rs
+++ b/crates/gateway/src/placement/inventories.rs
@@ -1,80 +1,86 @@
-//! What the leader tells other nodes of runners' models.
+//! The inventories of runners that the leader sends to the other nodes.
 
 use barleyspar_catalog::OrderAction;
 use barleyspar_dispatch::{Inventory, Loading};
 use barleyspar_loading::RunnerView;
 use tokio::time::Instant;
 
-/// Bytes of the inventories in one message, so that it fits into one packet of
-/// an ordinary network (1,500 bytes) with its heads.
-const MESSAGE_BYTES: usize = 1200;
-/// Bytes of an inventory beside its names: numbers and the lengths of its parts.
+/// Maximum bytes of inventories in one message: with its headers, the message fits in
+/// one packet of an ordinary network (1,500 bytes).
+const MAX_MESSAGE_BYTES: usize = 1200;
+/// Estimated bytes of an inventory without its names: numbers and list lengths.
 const FIXED_BYTES: usize = 16;
-/// Bytes of a name beside its letters.
+/// Estimated bytes of a name's length prefix.
 const NAME_BYTES: usize = 2;
 
-/// What a runner holds, for other nodes.
+/// Returns a runner's inventory for other nodes: its replicas, and the models being
+/// loaded or unloaded.
 pub fn inventory(view: &RunnerView) -> Inventory {
-    let (unloading, held): (Vec<_>, Vec<_>) = view
+    let (unloading, replicas): (Vec<_>, Vec<_>) = view
         .models
         .iter()
         .cloned()
-        .partition(|held| view.unloads(&held.model));
+        .partition(|replica| view.unloads(&replica.model));
     Inventory {
         runner: view.id.clone(),
         sequence: view.sequence,
-        models: held,
-        unloading: unloading.into_iter().map(|held| held.model).collect(),
+        models: replicas,
+        unloading: unloading.into_iter().map(|replica| replica.model).collect(),
         loading: loading(view),
     }
 }
 
-/// The load that was ordered, with the time that it is expected to take still.
+/// Returns the load that was ordered, with its expected remaining time; `None` if no
+/// load is in progress.
 fn loading(view: &RunnerView) -> Option<Loading> {
     let Some(OrderAction::LoadModel { model }) = &view.ordered else {
         return None;
     };
-    let left = view
+    let remaining = view
         .busy_until?
         .saturating_duration_since(Instant::now().into_std());
     Some(Loading {
         model: model.clone(),
-        ready_in_ms: left.as_millis() as u32,
+        ready_in_ms: remaining.as_millis() as u32,
     })
 }
 
-/// Parts of `inventories`, each for one message of bounded length.
-pub fn parts(inventories: Vec<Inventory>) -> Vec<Vec<Inventory>> {
-    let mut parts = Vec::new();
-    let mut part: Vec<Inventory> = Vec::new();
+/// Splits `inventories` into messages of bounded size.
+pub fn split_into_messages(inventories: Vec<Inventory>) -> Vec<Vec<Inventory>> {
+    let mut messages = Vec::new();
+    let mut message: Vec<Inventory> = Vec::new();
     let mut bytes = 0;
     for inventory in inventories {
-        let size = size(&inventory);
-        if bytes + size > MESSAGE_BYTES && !part.is_empty() {
-            parts.push(std::mem::take(&mut part));
+        let size = estimated_bytes(&inventory);
+        if bytes + size > MAX_MESSAGE_BYTES && !message.is_empty() {
+            messages.push(std::mem::take(&mut message));
             bytes = 0;
         }
         bytes += size;
-        part.push(inventory);
+        message.push(inventory);
     }
-    if !part.is_empty() {
-        parts.push(part);
+    if !message.is_empty() {
+        messages.push(message);
     }
-    parts
+    messages
 }
 
-/// Bytes of an inventory in a message, about.
-fn size(inventory: &Inventory) -> usize {
-    let name = |name: &str| name.len() + NAME_BYTES;
-    let models = inventory.models.iter().map(|held| {
-        let adapters: usize = held.adapters.iter().map(|adapter| name(adapter)).sum();
-        name(&held.model) + adapters + FIXED_BYTES
+/// Estimates the bytes that an inventory takes in a message.
+fn estimated_bytes(inventory: &Inventory) -> usize {
+    let name_bytes = |name: &str| name.len() + NAME_BYTES;
+    let models = inventory.models.iter().map(|replica| {
+        let adapters: usize = replica
+            .adapters
+            .iter()
+            .map(|adapter| name_bytes(adapter))
+            .sum();
+        name_bytes(&replica.model) + adapters + FIXED_BYTES
     });
-    let unloading = inventory.unloading.iter().map(|model| name(model));
+    let unloading = inventory.unloading.iter().map(|model| name_bytes(model));
     let loading = inventory.loading.as_ref();
-    let loading = loading.map_or(0, |loading| name(&loading.model) + FIXED_BYTES);
-    let named = name(&inventory.runner) + loading;
-    FIXED_BYTES + named + models.sum::<usize>() + unloading.sum::<usize>()
+    let loading = loading.map_or(0, |loading| name_bytes(&loading.model) + FIXED_BYTES);
+    let names_bytes = name_bytes(&inventory.runner) + loading;
+    FIXED_BYTES + names_bytes + models.sum::<usize>() + unloading.sum::<usize>()
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/placement/inventories_tests.rs
+++ b/crates/gateway/src/placement/inventories_tests.rs
@@ -1,10 +1,10 @@
 use barleyspar_catalog::HeldModel;
 use barleyspar_dispatch::Inventory;
 
-use super::{MESSAGE_BYTES, parts};
+use super::{MAX_MESSAGE_BYTES, split_into_messages};
 use crate::messages::Message;
 
-/// A packet of an ordinary network without its heads.
+/// The payload of a packet of an ordinary network.
 const PACKET_BYTES: usize = 1460;
 
 fn inventory(number: usize) -> Inventory {
@@ -22,9 +22,9 @@
     }
 }
 
-fn bytes(part: &[Inventory]) -> usize {
+fn encoded_bytes(inventories: &[Inventory]) -> usize {
     let message = Message::Held {
-        inventories: part.to_vec(),
+        inventories: inventories.to_vec(),
         passed_on: false,
     };
     message.encode().len()
@@ -33,14 +33,21 @@
 #[test]
 fn inventories_of_many_runners_go_in_few_full_packets() {
     let inventories: Vec<Inventory> = (0..245).map(inventory).collect();
-    let parts = parts(inventories.clone());
-    assert!(parts.iter().all(|part| bytes(part) <= PACKET_BYTES));
-    let all: usize = parts.iter().map(|part| bytes(part)).sum();
-    assert!(parts.len() <= all.div_ceil(MESSAGE_BYTES / 2), "half empty");
-    assert_eq!(parts.concat(), inventories);
+    let messages = split_into_messages(inventories.clone());
+    assert!(
+        messages
+            .iter()
+            .all(|message| encoded_bytes(message) <= PACKET_BYTES)
+    );
+    let total_bytes: usize = messages.iter().map(|message| encoded_bytes(message)).sum();
+    assert!(
+        messages.len() <= total_bytes.div_ceil(MAX_MESSAGE_BYTES / 2),
+        "half empty"
+    );
+    assert_eq!(messages.concat(), inventories);
 }
 
 #[test]
-fn nothing_to_tell_makes_no_message() {
-    assert!(parts(Vec::new()).is_empty());
+fn no_inventories_make_no_message() {
+    assert!(split_into_messages(Vec::new()).is_empty());
 }
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -1,4 +1,4 @@
-//! Takes and keeps the lease without which no runner is ordered.
+//! Acquires and renews the placement lease, without which no runner is given orders.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,60 +12,67 @@
 use crate::context::Context;
 use crate::lifecycle::Stage;
 use crate::peers::{Heard, longest_silence};
-use crate::placement::{LEADER_KEY, LeaderRecord, SETTLED_ERA_KEY};
+use crate::placement::{LEADER_KEY, LEASE_ERA_KEY, LeaderRecord};
 use crate::store::Store;
 use crate::turns::pause_until_turn;
 
-/// The lease's time to live without fences at the runners, as a part of the
-/// time within which only one node may order a runner. A successor waits for
-/// its end, and for that time besides.
+/// The lease's time to live where runners don't check fencing tokens, as a fraction of
+/// the time within which only one node may order a runner. A successor waits for the
+/// lease's end and then for that time.
 const UNFENCED_TIME_TO_LIVE: f64 = 0.5;
-/// The same with fences: a leader goes on through most outages of the store,
-/// since a silent one is replaced before its lease is over.
+/// The same where runners check fencing tokens. A leader then continues through most
+/// outages of the store, since an unresponsive one is replaced before its lease
+/// expires.
 const FENCED_TIME_TO_LIVE: f64 = 2.0;
-/// Renewals in a time to live.
+/// Number of renewals within a time to live.
 const RENEWALS: u32 = 5;
-/// Time between two looks at a silent leader.
-const SILENCE_STEP: Duration = Duration::from_millis(200);
-/// Time after taking the lease before the first order, with fences.
+/// Time between two checks whether the leader is unresponsive, and between renewals
+/// while it is not known whether the lease lasts.
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// Time without orders after the lease was acquired, where runners check fencing
+/// tokens.
 const FENCED_QUIET: Duration = Duration::from_millis(300);
-/// Time taken off the lease.
+/// Safety margin subtracted from the lease's end.
 const MARGIN: Duration = Duration::from_millis(200);
-/// Pause at the start, to learn from the members' entries of larger machines.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Part of the time within which only one node may order a runner that a vacancy
-/// may be old: nobody else can have taken the lease in it and ordered.
-const VACANCY_PART: f64 = 0.5;
-/// Time for one call.
+/// Delay at the start, in which the node learns from the members' entries which
+/// machines are larger.
+const START_DELAY: Duration = Duration::from_millis(300);
+/// Maximum age of a vacancy that counts towards the time without orders, as a fraction
+/// of the time within which only one node may order a runner: nobody else can have
+/// acquired the lease and given orders within it.
+const VACANCY_FRACTION: f64 = 0.5;
+/// Timeout of one call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a failed try.
+/// Pause after a failed attempt to acquire the lease.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// The task that takes and keeps the lease.
+/// The task that acquires and renews the lease.
 pub struct LeaseKeeper {
-    /// What all parts share.
+    /// The node's settings, dispatcher, routes and other shared state.
     pub context: Context,
-    /// The store.
+    /// The client of the store that holds the lease.
     pub store: Store,
-    /// Who leads, as the store shows it.
+    /// The leader according to this node's copy of the store; `None` while there is
+    /// none.
     pub leader: watch::Receiver<Option<LeaderRecord>>,
-    /// The store's era in which a lease was taken last, as the store shows it.
+    /// The store's era in which the lease was last acquired, according to this node's
+    /// copy of the store.
     pub settled_era: watch::Receiver<u32>,
-    /// When each peer was last heard.
+    /// When each peer was last seen.
     pub heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
-    /// The lease while this node holds it.
+    /// Set to the lease while this node holds it and may use it; `None` otherwise.
     pub held: watch::Sender<Option<Lease>>,
 }
 
 impl LeaseKeeper {
-    /// Runs until the process is told to stop; then gives the lease up.
+    /// Runs until the process is asked to stop, then releases the lease.
     pub async fn run(mut self) {
         let lifecycle = self.context.lifecycle.clone();
         let held = self.held.clone();
         let store = self.store.clone();
         tokio::select! {
             () = lifecycle.reached(Stage::Draining) => {}
-            () = self.compete() => {}
+            () = self.compete_for_lease() => {}
         }
         if let Some(lease) = held.send_replace(None) {
             let call = StoreCall::EndLease { lease: lease.id };
@@ -73,31 +80,32 @@
         }
     }
 
-    async fn compete(&mut self) {
-        sleep(FIRST_PAUSE).await;
+    async fn compete_for_lease(&mut self) {
+        sleep(START_DELAY).await;
         loop {
-            let predecessor = self.vacancy().await;
+            let predecessor = self.wait_for_vacancy().await;
             let vacant_since = Instant::now();
-            let turn = pause_until_turn(&self.context, &self.heard.borrow());
-            sleep(turn).await;
+            let delay = pause_until_turn(&self.context, &self.heard.borrow());
+            sleep(delay).await;
             let leader = self.leader.borrow().as_ref().map(|leader| leader.revision);
             if leader != predecessor || self.context.routes.borrow().is_none() {
                 sleep(RETRY_PAUSE).await;
                 continue;
             }
-            match self.take(predecessor, vacant_since).await {
-                Some(lease) => self.keep(lease).await,
+            match self.acquire(predecessor, vacant_since).await {
+                Some(lease) => self.hold(lease).await,
                 None => sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    /// Waits until nobody leads, or the leader is silent where runners check
-    /// fences; the revision of the silent leader's entry.
-    async fn vacancy(&mut self) -> Option<Revision> {
+    /// Waits until there is no leader or, where runners check fencing tokens, the
+    /// leader is unresponsive. Returns the revision of the unresponsive leader's entry,
+    /// `None` if there is no entry.
+    async fn wait_for_vacancy(&mut self) -> Option<Revision> {
         loop {
             let leader = self.leader.borrow_and_update().clone()?;
-            if self.is_silent(&leader) {
+            if self.is_unresponsive(&leader) {
                 tracing::info!(
                     event = "leader_silent",
                     leader = &*leader.node,
@@ -105,27 +113,29 @@
                 );
                 return Some(leader.revision);
             }
-            let _ = timeout(SILENCE_STEP, self.leader.changed()).await;
+            let _ = timeout(CHECK_PERIOD, self.leader.changed()).await;
         }
     }
 
-    fn is_silent(&self, leader: &LeaderRecord) -> bool {
+    fn is_unresponsive(&self, leader: &LeaderRecord) -> bool {
         if !self.context.settings.bounds.fencing_enforced {
             return false;
         }
-        // Its own predecessor on this machine is gone for sure.
+        // A former process of this node on the same machine has certainly ended.
         if leader.node == self.context.settings.name {
             return true;
         }
-        let longest = longest_silence(self.context.dispatch.nodes());
-        let heard = self.heard.borrow().get(&leader.node).map(|peer| peer.at);
-        let since = heard.unwrap_or(leader.known_since).max(leader.known_since);
-        since.elapsed() > longest
+        let max_silence = longest_silence(self.context.dispatch.nodes());
+        let last_seen = self.heard.borrow().get(&leader.node).map(|peer| peer.at);
+        let since = last_seen
+            .unwrap_or(leader.known_since)
+            .max(leader.known_since);
+        since.elapsed() > max_silence
     }
 
     fn time_to_live(&self) -> Duration {
         let settings = &self.context.settings;
-        let part = if settings.bounds.fencing_enforced {
+        let fraction = if settings.bounds.fencing_enforced {
             FENCED_TIME_TO_LIVE
         } else {
             UNFENCED_TIME_TO_LIVE
@@ -133,14 +143,16 @@
         settings
             .bounds
             .lease_duration
-            .mul_f64(part)
+            .mul_f64(fraction)
             .max(settings.minimum_lease)
     }
 
-    /// Takes the lease in place of the leader whose entry has the revision `predecessor`;
-    /// `None` for none. Nobody has led since `vacant_since`.
-    async fn take(&self, predecessor: Option<Revision>, vacant_since: Instant) -> Option<Lease> {
-        let granted_call = Instant::now().into_std();
+    /// Acquires the lease in place of the leader whose entry has the revision
+    /// `predecessor` (`None`: there is no entry). `vacant_since` is the time since
+    /// which nobody leads. Returns `None` if the call failed or another node was
+    /// faster.
+    async fn acquire(&self, predecessor: Option<Revision>, vacant_since: Instant) -> Option<Lease> {
+        let grant_sent_at = Instant::now().into_std();
         let call = StoreCall::GrantLease {
             time_to_live: self.time_to_live(),
         };
@@ -154,12 +166,12 @@
         };
         let era = self.store.era().borrow().number;
         let quiet_from = self.quiet_from(vacant_since);
-        let call = self.entry(predecessor, lease, era);
+        let call = self.write_leader(predecessor, lease, era);
         match self.store.call(&call, CALL_TIMEOUT).await {
             Ok(StoreAnswer::Committed { revision }) if revision.era == era => Some(Lease::new(
                 lease,
                 revision.token(),
-                granted_call,
+                grant_sent_at,
                 time_to_live,
                 quiet_from.into_std(),
                 LeaseSettings {
@@ -168,7 +180,8 @@
                 },
             )),
             _ => {
-                // The key may be written yet, or later; without its lease it cannot stay.
+                // The entry may still be written, or be written later; it cannot stay
+                // without its lease.
                 let end = StoreCall::EndLease { lease };
                 let _ = self.store.call(&end, CALL_TIMEOUT).await;
                 None
@@ -176,47 +189,49 @@
         }
     }
 
-    /// Writes this node's entry as the leader, in place of `predecessor`'s.
-    fn entry(&self, predecessor: Option<Revision>, lease: u64, era: u32) -> StoreCall {
+    /// Returns the call that writes this node's entry as the leader, in place of
+    /// `predecessor`'s.
+    fn write_leader(&self, predecessor: Option<Revision>, lease: u64, era: u32) -> StoreCall {
         let settings = &self.context.settings;
         let leader = Write {
             key: LEADER_KEY.to_owned(),
             value: LeaderRecord::encode(&settings.name, settings.peer_address, era).into(),
             lease,
         };
-        let settled_era = Write {
-            key: SETTLED_ERA_KEY.to_owned(),
+        let era_write = Write {
+            key: LEASE_ERA_KEY.to_owned(),
             value: encode_era(era).into(),
             lease: 0,
         };
-        let settled = (era > 0).then_some(settled_era);
-        // The entry last: its revision is that of the whole commit.
+        let era_write = (era > 0).then_some(era_write);
+        // The leader's entry is last, so that its revision is that of the whole commit.
         StoreCall::Commit(Transaction {
             conditions: vec![(LEADER_KEY.to_owned(), predecessor)],
-            writes: settled.into_iter().chain([leader]).collect(),
+            writes: era_write.into_iter().chain([leader]).collect(),
             removes: Vec::new(),
         })
     }
 
-    /// When the time without orders begins for a lease that is taken now.
+    /// Returns when the time without orders begins for a lease that is acquired now.
     fn quiet_from(&self, vacant_since: Instant) -> Instant {
         let bounds = &self.context.settings.bounds;
         if bounds.fencing_enforced {
             return Instant::now();
         }
-        let oldest = Instant::now() - bounds.lease_duration.mul_f64(VACANCY_PART);
-        let vacant_since = vacant_since.max(oldest);
+        let earliest = Instant::now() - bounds.lease_duration.mul_f64(VACANCY_FRACTION);
+        let vacant_since = vacant_since.max(earliest);
         let era = *self.store.era().borrow();
         if *self.settled_era.borrow() == era.number {
             return vacant_since;
         }
-        // A holder whose lease the store has lost had renewed it before it came back.
+        // If a store that was restored from a backup has lost a lease, its holder had
+        // renewed it before the restore at the latest.
         vacant_since.max(era.since + self.time_to_live())
     }
 
-    /// Time without orders after the lease fell vacant or, with fences, was
-    /// taken. Without fences, nobody else
-    /// may have ordered within the lease duration.
+    /// Returns how long no orders are given after the lease became vacant or, with
+    /// fencing, was acquired. Without fencing no other node may have given an order
+    /// within the lease duration.
     fn quiet(&self) -> Duration {
         let bounds = &self.context.settings.bounds;
         if bounds.fencing_enforced {
@@ -226,30 +241,31 @@
         }
     }
 
-    /// Renews until the store says that the lease is over, or shows no longer that this
-    /// node leads. A lease that lapsed by this node's clock, or was taken in an earlier era
-    /// of the store, stays unused until a renewal shows that it lasts.
-    async fn keep(&self, mut lease: Lease) {
+    /// Renews the lease until the store reports its end, or shows that another node
+    /// leads. A lease that expired by this node's clock, or was acquired in an earlier
+    /// era of the store, stays unused until a renewal confirms it.
+    async fn hold(&self, mut lease: Lease) {
         tracing::info!(event = "lease_taken", token = lease.token);
         self.held.send_replace(Some(lease));
         let mut era = self.store.era();
-        let taken_in = era.borrow_and_update().number;
-        let mut shown = Shown::new(self.leader.clone(), lease.token);
+        let acquired_in = era.borrow_and_update().number;
+        let mut leader_watch = LeaderWatch::new(self.leader.clone(), lease.token);
         loop {
             tokio::select! {
-                () = shown.replaced() => break,
+                () = leader_watch.until_replaced() => break,
                 Ok(()) = era.changed() => {
                     self.held.send_replace(None);
                 }
                 () = sleep(self.renewal_pause()) => {}
             }
-            let sent = Instant::now().into_std();
+            let sent_at = Instant::now().into_std();
             let call = StoreCall::RenewLease { lease: lease.id };
             match self.store.call(&call, CALL_TIMEOUT).await {
                 Ok(StoreAnswer::Renewed { time_to_live }) => {
-                    lease.renewed(sent, time_to_live);
-                    let now = era.borrow().number;
-                    let holds = now == taken_in || self.is_shown_in(now, lease.token);
+                    lease.renewed(sent_at, time_to_live);
+                    let current_era = era.borrow().number;
+                    let holds = current_era == acquired_in
+                        || self.is_shown_as_leader(current_era, lease.token);
                     self.held.send_replace(holds.then_some(lease));
                 }
                 Err(StoreError::LeaseGone) => break,
@@ -260,19 +276,20 @@
         self.held.send_replace(None);
     }
 
-    /// Time until the next renewal: short while it is not known whether the lease lasts.
+    /// Returns the time until the next renewal; short while it is not known whether the
+    /// lease lasts.
     fn renewal_pause(&self) -> Duration {
         let pause = self.time_to_live() / RENEWALS;
         if self.held.borrow().is_some() {
             pause
         } else {
-            pause.min(SILENCE_STEP)
+            pause.min(CHECK_PERIOD)
         }
     }
 
-    /// Whether the store shows in `era` that the leader with `token` leads: it may have
-    /// given out the number of a lease that it lost to another one.
-    fn is_shown_in(&self, era: u32, token: u64) -> bool {
+    /// Whether the store shows in `era` that the leader with `token` leads. A store
+    /// that lost a lease in a restore may have given its number to another one.
+    fn is_shown_as_leader(&self, era: u32, token: u64) -> bool {
         let leader = self.leader.borrow();
         leader
             .as_ref()
@@ -280,25 +297,26 @@
     }
 }
 
-/// Follows whether the store shows that the leader with `token` leads.
-struct Shown {
+/// Watches whether the store shows the leader with `token`.
+struct LeaderWatch {
     leader: watch::Receiver<Option<LeaderRecord>>,
     token: u64,
-    /// Whether it has shown that once.
-    once: bool,
+    /// Whether the store has shown this leader before.
+    was_shown: bool,
 }
 
-impl Shown {
+impl LeaderWatch {
     fn new(leader: watch::Receiver<Option<LeaderRecord>>, token: u64) -> Self {
         Self {
             leader,
             token,
-            once: false,
+            was_shown: false,
         }
     }
 
-    /// Waits until the store shows a later leader, or another one or none after this one.
-    async fn replaced(&mut self) {
+    /// Waits until the store shows a leader with a higher token or, after this leader
+    /// was shown, another one or none.
+    async fn until_replaced(&mut self) {
         loop {
             let token = self
                 .leader
@@ -306,8 +324,8 @@
                 .as_ref()
                 .map(|leader| leader.token);
             if token == Some(self.token) {
-                self.once = true;
-            } else if self.once || token > Some(self.token) {
+                self.was_shown = true;
+            } else if self.was_shown || token > Some(self.token) {
                 return;
             }
             if self.leader.changed().await.is_err() {
@@ -319,15 +337,16 @@
 }
 
 fn encode_era(era: u32) -> Vec<u8> {
-    rmp_serde::to_vec(&era).expect("a number is plain data")
+    rmp_serde::to_vec(&era).expect("a number is serializable")
 }
 
-/// The era that stands under [`SETTLED_ERA_KEY`]; the first of all if it cannot be read.
+/// Decodes the era stored under [`LEASE_ERA_KEY`]; 0, the first era, if the value is
+/// malformed.
 pub fn decode_era(value: &[u8]) -> u32 {
     rmp_serde::from_slice(value).unwrap_or(0)
 }
 
-/// Name of the node for orders.
-pub fn holder(context: &Context) -> Arc<str> {
+/// The name under which this node gives orders.
+pub fn order_holder(context: &Context) -> Arc<str> {
     context.settings.name.clone()
 }
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -1,12 +1,12 @@
-//! The placement of models: who leads it, and the leader's orders.
+//! Placement of models: election of the leader, and the leader's orders to runners.
 
-mod entry;
 mod inventories;
 mod lease;
 mod order;
 mod runners;
 mod summary;
 mod task;
+mod tracked_runner;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,24 +23,24 @@
 
 use order::{OrderResult, ReportResult};
 
-/// Key under which the leader stands in the store.
+/// Key of the leader's entry in the store.
 pub const LEADER_KEY: &str = "barleyspar/placement/leader";
-/// Key of the store's era in which a lease was taken last: no lease of an earlier era that
-/// the store has lost can last any more.
-pub const SETTLED_ERA_KEY: &str = "barleyspar/placement/era";
+/// Key of the store's era in which the lease was last acquired. If the store was
+/// restored since and lost a lease of an earlier era, that lease has certainly expired.
+pub const LEASE_ERA_KEY: &str = "barleyspar/placement/era";
 
-/// Who leads the placement.
+/// The node that leads the placement, as this node's copy of the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaderRecord {
-    /// The node.
+    /// The leader's node name.
     pub node: Arc<str>,
-    /// Where it takes messages.
+    /// The address on which the leader receives messages.
     pub address: SocketAddr,
-    /// Its fencing token.
+    /// The leader's fencing token, which rises with each new leader.
     pub token: u64,
-    /// The revision of its entry as the store shows it in its present era.
+    /// The revision of the leader's entry in the store's present era.
     pub revision: Revision,
-    /// Since when this node knows of it.
+    /// When this node first read the entry.
     pub known_since: Instant,
 }
 
@@ -48,13 +48,14 @@
 struct LeaderValue {
     node: Arc<str>,
     address: SocketAddr,
-    /// The store's era in which it took the lease.
+    /// The store's era in which the leader acquired the lease.
     era: u32,
 }
 
 impl LeaderRecord {
-    /// Reads the leader's value, which the store shows with `revision`. A copy shows what
-    /// was written in an earlier era.
+    /// Decodes the leader's entry, which the store shows at `revision`; `None` if it is
+    /// malformed. The token is computed from the era in the value: a store restored
+    /// from a backup shows entries of earlier eras under its present one.
     pub fn decode(value: &[u8], revision: Revision) -> Option<Self> {
         let value: LeaderValue = rmp_serde::from_slice(value).ok()?;
         Some(Self {
@@ -66,14 +67,14 @@
         })
     }
 
-    /// The value of a leader that takes the lease in `era`.
+    /// Encodes the entry of a leader that acquires the lease in `era`.
     pub fn encode(node: &Arc<str>, address: SocketAddr, era: u32) -> Vec<u8> {
         let value = LeaderValue {
             node: node.clone(),
             address,
             era,
         };
-        rmp_serde::to_vec(&value).expect("a leader is plain data")
+        rmp_serde::to_vec(&value).expect("a leader is serializable")
     }
 }
 
@@ -92,7 +93,8 @@
 /// A handle to the placement task.
 #[derive(Debug, Clone)]
 pub struct PlacementHandle {
-    // Bounded by runners and nodes: each has few messages on their way.
+    // Unbounded, but limited in effect by the number of runners and nodes: each has few
+    // messages pending.
     commands: mpsc::UnboundedSender<Command>,
 }
 
@@ -111,33 +113,39 @@
         let _ = self.commands.send(command);
     }
 
-    /// Puts a configuration in force.
+    /// Makes the planner use this configuration, and tracks the engines that it adds.
     pub fn configure(&self, configuration: Arc<Configuration>) {
         self.send(Command::Configure(configuration));
     }
 
-    /// Takes in a runner's entry.
+    /// Adds or updates a runner after its entry in the store changed.
     pub fn update_runner(&self, runner: Arc<Runner>) {
         self.send(Command::UpdateRunner(runner));
     }
 
-    /// Forgets a runner.
+    /// Drops a runner whose entry in the store was removed.
     pub fn remove_runner(&self, id: Arc<str>) {
         self.send(Command::RemoveRunner(id));
     }
 
-    /// Forgets all runners but those in `kept`.
+    /// Drops all runners whose ids are not in `kept`.
     pub fn retain_runners(&self, kept: Vec<Arc<str>>) {
         self.send(Command::RetainRunners(kept));
     }
 
-    /// Takes in which zones the operators want to be evacuated.
+    /// Sets the zones under evacuation, in which no models are loaded for callers.
     pub fn set_evacuated(&self, zones: BTreeSet<Arc<str>>) {
         self.send(Command::SetEvacuated(zones));
     }
 
-    /// Takes in a node's demand, and the runners that it cannot reach.
-    pub fn demand(&self, node: Arc<str>, items: Vec<DemandItem>, unreachable: Vec<RunnerKey>) {
+    /// Passes a node's demand to the planner, and has the reports of runners read that
+    /// the node cannot reach.
+    pub fn report_demand(
+        &self,
+        node: Arc<str>,
+        items: Vec<DemandItem>,
+        unreachable: Vec<RunnerKey>,
+    ) {
         self.send(Command::Demand(node, items, unreachable));
     }
 }
--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! One order to one runner, or one look at its report.
+//! The leader's calls to a runner: giving an order and reading a report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,65 +19,67 @@
 use crate::rate_permits;
 use crate::upstream::Connection;
 
-/// Time for an answer.
+/// Timeout for the whole answer to a call.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes of an answer that are read.
-const ANSWER_BYTES: usize = 1 << 20;
+/// Maximum size of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Why a call to a runner got no answer.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection came up.
+    /// No connection could be opened.
     #[error("unreachable: {0}")]
     Unreachable(String),
-    /// Nothing was sent.
+    /// Nothing was sent: the lease ended before, or the connection failed.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The runner wants no call for this time: its limit is reached, or it asked for a
-    /// pause.
-    #[error("the runner wants no call for {0:?}")]
-    HeldBack(Duration),
-    /// It may have been done, or may be done later.
+    /// The runner must not be called for this time: its rate limit is reached, or it
+    /// requested a pause.
+    #[error("the runner must not be called for {0:?}")]
+    NotBefore(Duration),
+    /// The call was sent but not answered: the runner may have acted on it, or may
+    /// still.
     #[error("no answer: {0}")]
     Unanswered(String),
 }
 
-/// Why there is no report.
+/// Why a report could not be read.
 #[derive(Debug, Error)]
 pub enum ReportError {
     /// The call got no answer.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer could not be read.
+    /// The answer is no valid report.
     #[error(transparent)]
     Unreadable(#[from] DialectError),
-    /// Another life of the runner answered, which was born at this time.
-    #[error("the runner that reports was born at {0}")]
-    OtherLife(u64),
+    /// Another incarnation of the runner answered, which was started at this time.
+    #[error("the report is from another incarnation, started at {0}")]
+    OtherIncarnation(u64),
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug)]
 pub struct OrderResult {
-    /// The runner.
+    /// The id of the runner.
     pub runner: Arc<str>,
-    /// The order.
+    /// The order that was given.
     pub order: Order,
-    /// The runner's answer.
+    /// The runner's answer, or why there is none.
     pub answer: Result<OrderAnswer, CallError>,
 }
 
-/// How a look at a report ended.
+/// The result of reading a report.
 #[derive(Debug)]
 pub struct ReportResult {
-    /// The runner.
+    /// The id of the runner.
     pub runner: Arc<str>,
-    /// Its report.
+    /// The runner's report, or why there is none.
     pub report: Result<Report, ReportError>,
 }
 
-/// Gives `order`, if `lease` allows it at the very moment of writing.
-pub async fn give(
+/// Sends `order` to `runner`, provided that `lease` still allows it when the request is
+/// written.
+pub async fn send_order(
     context: Context,
     runner: Arc<Runner>,
     order: Order,
@@ -85,13 +87,13 @@
 ) -> OrderResult {
     let request = context.dialect.order_call(&order);
     let token = order.fencing_token;
-    let allowed = move || {
+    let is_allowed = move || {
         let now = Instant::now().into_std();
         lease
             .borrow()
             .is_some_and(|lease| lease.token == token && lease.may_order(now))
     };
-    let answer = call(&context, &runner, "order", request, allowed)
+    let answer = call(&context, &runner, "order", request, is_allowed)
         .await
         .map(|(status, _)| context.dialect.read_order_answer(status));
     OrderResult {
@@ -101,25 +103,25 @@
     }
 }
 
-/// Reads a runner's report.
+/// Reads the report of `runner`. A report from another incarnation of it is an error.
 pub async fn read_report(context: Context, runner: Arc<Runner>) -> ReportResult {
     let request = context.dialect.report_call(&runner.name);
     let report = call(&context, &runner, "report", request, || true)
         .await
         .map_err(ReportError::from)
         .and_then(|(status, body)| Ok(context.dialect.read_report(status, &body)?))
-        .and_then(|report| of_same_life(&runner, report));
+        .and_then(|report| check_incarnation(&runner, report));
     ReportResult {
         runner: runner.id.clone(),
         report,
     }
 }
 
-/// Refuses what another life of `runner` says, which holds and knows nothing of
-/// this one.
-fn of_same_life(runner: &Runner, report: Report) -> Result<Report, ReportError> {
+/// Rejects a report from another incarnation of `runner`, whose models and orders are
+/// not those of this one.
+fn check_incarnation(runner: &Runner, report: Report) -> Result<Report, ReportError> {
     match (runner.born, report.born) {
-        (Some(known), Some(born)) if known != born => Err(ReportError::OtherLife(born)),
+        (Some(known), Some(born)) if known != born => Err(ReportError::OtherIncarnation(born)),
         _ => Ok(report),
     }
 }
@@ -129,12 +131,12 @@
     runner: &Runner,
     name: &'static str,
     mut request: Request<Bytes>,
-    allowed: impl Fn() -> bool,
+    is_allowed: impl Fn() -> bool,
 ) -> Result<(StatusCode, Bytes), CallError> {
     if let Some(pause) = context.dispatch.pause_left(&runner.id) {
-        return Err(CallError::HeldBack(pause));
+        return Err(CallError::NotBefore(pause));
     }
-    take_rate_permit(context, runner).await?;
+    acquire_rate_permit(context, runner).await?;
     let mut connection = context
         .connect(runner, CONNECT_TIMEOUT)
         .await
@@ -142,8 +144,8 @@
     if let Ok(host) = HeaderValue::from_str(&runner.address.to_string()) {
         request.headers_mut().insert(HOST, host);
     }
-    if !allowed() {
-        return Err(CallError::NotSent("the lease does not last".to_owned()));
+    if !is_allowed() {
+        return Err(CallError::NotSent("the lease has ended".to_owned()));
     }
     match exchange(context, runner, name, &mut connection, request).await {
         Ok((status, facts, body)) => {
@@ -152,7 +154,8 @@
             Ok((status, body))
         }
         Err(error) => {
-            // After a cut it could reach the runner behind the orders of a successor.
+            // After a network partition, a pending order could otherwise reach the
+            // runner behind the orders of a successor.
             connection.give_up();
             Err(error)
         }
@@ -172,7 +175,7 @@
     let unanswered = |cause: String| CallError::Unanswered(cause);
     let response = timeout_at(until, connection.send(request))
         .await
-        .map_err(|_| unanswered("time is up".to_owned()))?
+        .map_err(|_| unanswered("timed out".to_owned()))?
         .map_err(|error| {
             if error.sent {
                 unanswered(error.cause)
@@ -189,23 +192,23 @@
         always_limited: false,
     };
     notices::hear(context, &heard, head.status, &facts);
-    let body = timeout_at(until, Limited::new(body, ANSWER_BYTES).collect())
+    let body = timeout_at(until, Limited::new(body, MAX_ANSWER_BYTES).collect())
         .await
-        .map_err(|_| unanswered("time is up".to_owned()))?
+        .map_err(|_| unanswered("timed out".to_owned()))?
         .map_err(|error| unanswered(error.to_string()))?
         .to_bytes();
     Ok((head.status, facts, body))
 }
 
-/// Asks for a permit to call `runner`, if it is rate-limited: the leader's calls are part
-/// of what it gets from all nodes.
-async fn take_rate_permit(context: &Context, runner: &Runner) -> Result<(), CallError> {
-    let advertised = context.dispatch.limits().get(&runner.id).copied();
-    let Some(limit) = advertised.and_then(|advertised| advertised.limit) else {
+/// Acquires a permit to call `runner` if it is rate-limited: the leader's calls count
+/// towards the limit that all nodes share.
+async fn acquire_rate_permit(context: &Context, runner: &Runner) -> Result<(), CallError> {
+    let announced = context.dispatch.limits().get(&runner.id).copied();
+    let Some(limit) = announced.and_then(|announced| announced.limit) else {
         return Ok(());
     };
     match rate_permits::permit(context, &runner.id, limit).await {
         RatePermitAnswer::Granted => Ok(()),
-        RatePermitAnswer::Denied(wait) => Err(CallError::HeldBack(wait)),
+        RatePermitAnswer::Denied(wait) => Err(CallError::NotBefore(wait)),
     }
 }
--- a/crates/gateway/src/placement/runners.rs
+++ b/crates/gateway/src/placement/runners.rs
@@ -1,8 +1,8 @@
-//! The runners as the placement task keeps them.
+//! The runners as the placement task tracks them.
 //!
-//! Every node may come to lead, so each keeps what discovery shows of every runner,
-//! shared with its other parts. Only a leader has more of them: what they reported and
-//! what they were ordered.
+//! Any node may become the leader, so each keeps the store's entry of every runner,
+//! shared with the other parts of the node. Only the leader also tracks their reports
+//! and orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,72 +13,78 @@
 use tokio::time::Instant;
 
 use crate::dispatch::{LeavingRunners, Limits};
-use crate::placement::entry::Entry;
+use crate::placement::tracked_runner::TrackedRunner;
 
-/// Runners up to which a new leader reads the reports of all. Each costs a connection
-/// and a probe: of more runners a report is read when the first order is to be given
-/// there. A tenth of the descriptors of a small machine.
-const READ_AT_ONCE: usize = 400;
+/// Maximum number of runners for which a new leader reads all reports at once. Each
+/// read costs a connection and a probe; with more runners, a report is read when the
+/// first order for the runner is planned. A tenth of the descriptors of a small
+/// machine.
+const MAX_INITIAL_REPORTS: usize = 400;
 
-/// Time between two looks at a runner that some node cannot reach.
-const DOUBT_PAUSE: Duration = Duration::from_millis(400);
+/// Minimum time between two reads of the report of a runner that some node cannot
+/// reach.
+const UNREACHABLE_REPORT_PAUSE: Duration = Duration::from_millis(400);
 
-/// The runners.
+/// All runners in the store and, on the leader, the state of those that it may give
+/// orders.
 #[derive(Default)]
 pub struct Runners {
     known: BTreeMap<Arc<str>, Arc<Runner>>,
-    led: BTreeMap<Arc<str>, Entry>,
+    tracked: BTreeMap<Arc<str>, TrackedRunner>,
     evacuated: BTreeSet<Arc<str>>,
 }
 
 impl Runners {
-    /// Begins to lead: nothing of an earlier time is believed.
-    pub fn lead(&mut self, configuration: &Configuration) {
-        self.led.clear();
-        self.cover(configuration);
+    /// Starts leading: drops the state of an earlier term and tracks the engines of
+    /// `configuration`.
+    pub fn start_leading(&mut self, configuration: &Configuration) {
+        self.tracked.clear();
+        self.track_engines(configuration);
     }
 
-    /// Ends to lead.
-    pub fn rest(&mut self) {
-        self.led.clear();
+    /// Stops leading: drops the state of reports and orders.
+    pub fn stop_leading(&mut self) {
+        self.tracked.clear();
     }
 
-    /// Makes sure that all engines of `configuration` are led.
-    pub fn cover(&mut self, configuration: &Configuration) {
+    /// Tracks all runners whose service has an engine in `configuration`.
+    pub fn track_engines(&mut self, configuration: &Configuration) {
         let engines: Vec<Arc<Runner>> = self
             .known
             .values()
             .filter(|runner| is_engine(configuration, runner))
             .cloned()
             .collect();
-        let reads = engines.len() <= READ_AT_ONCE;
+        let reads_report = engines.len() <= MAX_INITIAL_REPORTS;
         for runner in engines {
-            self.entry(&runner, reads);
+            self.entry(&runner, reads_report);
         }
     }
 
-    /// The entry of `runner`, made if there is none.
-    fn entry(&mut self, runner: &Arc<Runner>, reads: bool) -> &mut Entry {
+    /// Returns the tracked entry of `runner`, created if there is none; `reads_report`
+    /// tells whether a new entry's report is read at once.
+    fn entry(&mut self, runner: &Arc<Runner>, reads_report: bool) -> &mut TrackedRunner {
         let evacuated = self.evacuated.contains(&runner.zone);
-        self.led.entry(runner.id.clone()).or_insert_with(|| {
-            let mut entry = Entry::new(runner);
+        self.tracked.entry(runner.id.clone()).or_insert_with(|| {
+            let mut entry = TrackedRunner::new(runner);
             entry.view.evacuated = evacuated;
-            entry.view.unread = !reads;
-            entry.report_at = reads.then(Instant::now);
+            entry.view.unread = !reads_report;
+            entry.report_at = reads_report.then(Instant::now);
             entry
         })
     }
 
-    /// Takes in a runner's entry. `leads` while this node orders.
+    /// Applies a runner's entry in the store. `leads` tells whether this node is the
+    /// leader.
     pub fn update(&mut self, runner: Arc<Runner>, configuration: &Configuration, leads: bool) {
-        let Some(runner) = self.newest(runner) else {
+        let Some(runner) = self.merge_entry(runner) else {
             return;
         };
         if !leads || !is_engine(configuration, &runner) {
             return;
         }
-        let reads = self.led.len() <= READ_AT_ONCE;
-        let entry = self.entry(&runner, reads);
+        let reads_report = self.tracked.len() <= MAX_INITIAL_REPORTS;
+        let entry = self.entry(&runner, reads_report);
         entry.view.open = runner.state == RunnerState::Available;
         if !entry.view.reported {
             entry.view.models = runner.models.clone();
@@ -89,19 +95,20 @@
         entry.runner = runner;
     }
 
-    /// Keeps `runner` unless something newer is known: a runner that was draining
-    /// stays so, and a lower heartbeat is a late one. What holds now, if that is new.
-    fn newest(&mut self, mut runner: Arc<Runner>) -> Option<Arc<Runner>> {
+    /// Merges `runner` with the known entry and returns the result, or `None` if it
+    /// adds nothing. A draining runner stays draining, and a lower heartbeat marks a
+    /// late entry.
+    fn merge_entry(&mut self, mut runner: Arc<Runner>) -> Option<Arc<Runner>> {
         if let Some(known) = self.known.get(&runner.id) {
-            let drains = [known.state, runner.state].contains(&RunnerState::Draining);
+            let is_draining = [known.state, runner.state].contains(&RunnerState::Draining);
             let is_late = runner.heartbeat < known.heartbeat;
-            if is_late && (!drains || known.state == RunnerState::Draining) {
+            if is_late && (!is_draining || known.state == RunnerState::Draining) {
                 return None;
             }
             if is_late {
                 runner = known.clone();
             }
-            if drains && runner.state != RunnerState::Draining {
+            if is_draining && runner.state != RunnerState::Draining {
                 Arc::make_mut(&mut runner).state = RunnerState::Draining;
             }
         }
@@ -109,95 +116,101 @@
         Some(runner)
     }
 
-    /// Forgets a runner.
+    /// Drops a runner.
     pub fn remove(&mut self, id: &str) {
         self.known.remove(id);
-        self.led.remove(id);
+        self.tracked.remove(id);
     }
 
-    /// Forgets all runners but those in `kept`.
+    /// Drops all runners whose ids are not in `kept`.
     pub fn retain(&mut self, kept: &[Arc<str>]) {
         let kept: BTreeSet<&Arc<str>> = kept.iter().collect();
         self.known.retain(|id, _| kept.contains(id));
-        self.led.retain(|id, _| kept.contains(id));
+        self.tracked.retain(|id, _| kept.contains(id));
     }
 
-    /// Nothing is loaded for callers where nothing is sent.
+    /// Sets the zones under evacuation. Their runners get no requests, so nothing is
+    /// loaded there for callers.
     pub fn set_evacuated(&mut self, zones: BTreeSet<Arc<str>>) {
-        for entry in self.led.values_mut() {
+        for entry in self.tracked.values_mut() {
             entry.view.evacuated = zones.contains(&entry.view.zone);
         }
         self.evacuated = zones;
     }
 
-    /// Takes in which runners said that they leave, whatever their entries say.
-    pub fn set_leaving(&mut self, leaving: &LeavingRunners) {
+    /// Excludes runners that announced that they are draining, whatever their entries
+    /// say.
+    pub fn set_draining(&mut self, leaving: &LeavingRunners) {
         for id in leaving.iter() {
-            if let Some(entry) = self.led.get_mut(id) {
+            if let Some(entry) = self.tracked.get_mut(id) {
                 entry.view.open = false;
             }
         }
     }
 
-    /// Takes in the limits that runners named lately. An order to one whose limit is
-    /// reached is not given; it is not planned again before it can be.
+    /// Applies the rate limits that runners announced. An order to a runner whose limit
+    /// is reached is not sent, and is planned again only once the runner may be called.
     pub fn set_limits(&mut self, limits: &Limits) {
         let now = Instant::now();
-        for (id, entry) in &mut self.led {
-            let advertised = limits
+        for (id, entry) in &mut self.tracked {
+            let announced = limits
                 .get(id)
-                .filter(|advertised| advertised.binds(now.into_std()));
-            let limit = advertised.and_then(|advertised| advertised.limit);
+                .filter(|announced| announced.binds(now.into_std()));
+            let limit = announced.and_then(|announced| announced.limit);
             entry.view.limit = limit.map(RunnerLimit::per_second);
-            entry.view.held_back = entry.held_back_until.is_some_and(|until| now < until);
+            entry.view.held_back = entry.no_calls_until.is_some_and(|until| now < until);
         }
     }
 
-    /// Looks again at runners that some node cannot reach.
-    pub fn doubt(&mut self, unreachable: &[RunnerKey]) {
+    /// Has the reports of runners read again that some node cannot reach.
+    pub fn reread_unreachable(&mut self, unreachable: &[RunnerKey]) {
         if unreachable.is_empty() {
             return;
         }
-        for entry in self.led.values_mut() {
-            let doubted = unreachable.contains(&runner_key(&entry.runner.id));
-            let asked = entry.report_at.is_some() || entry.asking;
-            if doubted && !asked && entry.looked_at.elapsed() > DOUBT_PAUSE {
+        for entry in self.tracked.values_mut() {
+            let is_unreachable = unreachable.contains(&runner_key(&entry.runner.id));
+            let is_requested = entry.report_at.is_some() || entry.report_in_progress;
+            if is_unreachable
+                && !is_requested
+                && entry.report_requested_at.elapsed() > UNREACHABLE_REPORT_PAUSE
+            {
                 entry.report_at = Some(Instant::now());
             }
         }
     }
 
     /// Has the reports of these runners read.
-    pub fn look(&mut self, ids: &[Arc<str>]) {
+    pub fn request_reports(&mut self, ids: &[Arc<str>]) {
         for id in ids {
-            if let Some(entry) = self.led.get_mut(id) {
+            if let Some(entry) = self.tracked.get_mut(id) {
                 entry.report_at.get_or_insert_with(Instant::now);
             }
         }
     }
 
-    /// The runner with this id, if it is led.
-    pub fn get(&self, id: &str) -> Option<&Entry> {
-        self.led.get(id)
+    /// Returns the tracked runner with this id; `None` unless this node leads.
+    pub fn get(&self, id: &str) -> Option<&TrackedRunner> {
+        self.tracked.get(id)
     }
 
-    /// The runner with this id, if it is led.
-    pub fn get_mut(&mut self, id: &str) -> Option<&mut Entry> {
-        self.led.get_mut(id)
+    /// Returns the tracked runner with this id; `None` unless this node leads.
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut TrackedRunner> {
+        self.tracked.get_mut(id)
     }
 
-    /// All that are led.
-    pub fn led(&self) -> impl Iterator<Item = &Entry> {
-        self.led.values()
+    /// The runners that the leader may give orders; empty unless this node leads.
+    pub fn tracked(&self) -> impl Iterator<Item = &TrackedRunner> {
+        self.tracked.values()
     }
 
-    /// All that are led.
-    pub fn led_mut(&mut self) -> impl Iterator<Item = &mut Entry> {
-        self.led.values_mut()
+    /// The runners that the leader may give orders; empty unless this node leads.
+    pub fn tracked_mut(&mut self) -> impl Iterator<Item = &mut TrackedRunner> {
+        self.tracked.values_mut()
     }
 }
 
-/// An entry may name a service that nobody configured, and any address.
+/// Whether the runner's service has an engine. An entry may name a service that is not
+/// configured.
 fn is_engine(configuration: &Configuration, runner: &Runner) -> bool {
     let service = configuration.services.get(&runner.service);
     service.is_some_and(|service| service.engine.is_some())
--- a/crates/gateway/src/placement/summary.rs
+++ b/crates/gateway/src/placement/summary.rs
@@ -1,9 +1,10 @@
-//! What the planner's steps see, in the log.
+//! Log lines on the planner's steps.
 
 use barleyspar_loading::StepSummary;
 
-/// Says in the log what a step saw: why models that lack replicas get none.
-pub fn tell(summary: &StepSummary) {
+/// Logs what a planning step saw, which explains why models that lack replicas get
+/// none.
+pub fn log_step(summary: &StepSummary) {
     let most = summary.most_wanted.as_ref();
     tracing::info!(
         event = "placement_step",
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -10,44 +10,46 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::context::Context;
-use crate::peers::{PeerHandle, demand_believed_for};
-use crate::placement::entry::{accepted, load_time, take_report};
-use crate::placement::inventories::{inventory, parts};
-use crate::placement::lease::holder;
+use crate::peers::{PeerHandle, demand_valid_for};
+use crate::placement::inventories::{inventory, split_into_messages};
+use crate::placement::lease::order_holder;
 use crate::placement::order::{
-    CallError, OrderResult, ReportError, ReportResult, give, read_report,
+    CallError, OrderResult, ReportError, ReportResult, read_report, send_order,
 };
 use crate::placement::runners::Runners;
-use crate::placement::summary::tell;
+use crate::placement::summary::log_step;
+use crate::placement::tracked_runner::{apply_accepted_order, apply_report, load_time};
 use crate::placement::{Command, PlacementHandle, PlacementInbox};
 
-/// Longest time between two looks at what is to be done.
+/// Maximum time between two planning steps.
 const TICK: Duration = Duration::from_millis(100);
-/// Shortest such time, in the times that the last look took: demand comes from
-/// hundreds of nodes, and a look at each message would leave no time for orders.
-const REST_PART: u32 = 2;
-/// Time after an order's expected end at which its runner's report is read first;
-/// one that is older than the order has a lower number, and is read again.
+/// Minimum pause after a planning step, as a multiple of the step's duration: demand
+/// comes from hundreds of nodes, and a step per message would leave no time for orders.
+const PLANNING_PAUSE_FACTOR: u32 = 2;
+/// Delay between an order's expected end and the first read of the runner's report. A
+/// report from before the order has a lower sequence number and is read again.
 const REPORT_LAG: Duration = Duration::from_millis(80);
-/// The same at a rate-limited runner: late enough that the first report tells of the order.
+/// The same at a rate-limited runner: late enough that the first report shows the
+/// order's result.
 const LIMITED_REPORT_LAG: Duration = Duration::from_millis(300);
-/// Pause in the task's own steps after which it must have been frozen.
+/// Time between two steps of the task from which on the process must have been frozen.
 const FREEZE: Duration = Duration::from_millis(500);
-/// Time after a freeze without orders, to hear of a successor.
-const QUIET_AFTER_FREEZE: Duration = Duration::from_millis(700);
-/// Shortest time between two messages of what runners hold, for each node that
-/// they go to: what changes within it goes together.
+/// Time without orders after a freeze, in which the node learns of a successor.
+const NO_ORDERS_AFTER_FREEZE: Duration = Duration::from_millis(700);
+/// Minimum time between two messages with inventories, per receiving node; changes
+/// within it are sent together.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(1);
-/// The longest such time. Nodes learn of a replica this much later; where relays
-/// pass messages on, the leader sends to few, however many nodes there are.
-const LONGEST_PUBLISH_PAUSE: Duration = Duration::from_millis(40);
-/// Time between two lines on what the planner's steps see: one a second is enough
-/// to explain a cold start, and nothing beside the orders' lines.
+/// Maximum of that time. Nodes learn of a replica this much later; where relays forward
+/// the messages, the leader sends to few nodes however many there are.
+const MAX_PUBLISH_PAUSE: Duration = Duration::from_millis(40);
+/// Time between two log lines on planning steps: one a second is enough to explain a
+/// cold start, and adds little to the lines on orders.
 const SUMMARY_PAUSE: Duration = Duration::from_secs(1);
-/// Time until a runner that gave no report is asked again.
+/// Delay before a report is requested again after a failure.
 const REPORT_RETRY: Duration = Duration::from_millis(500);
 
-/// The task.
+/// Leads the placement while this node holds the lease: reads reports, plans, gives
+/// orders and publishes inventories.
 pub struct PlacementTask {
     context: Context,
     planner: Planner,
@@ -56,19 +58,20 @@
     runners: Runners,
     lease: watch::Receiver<Option<Lease>>,
     leading: Option<u64>,
-    /// Highest token of ours that a runner refused for a higher one.
+    /// The highest token of this node that a runner rejected in favour of a higher one;
+    /// orders need a higher token.
     fenced_token: u64,
-    /// Runners of which other nodes have yet to be told.
+    /// Ids of runners whose inventories have yet to be sent to the other nodes.
     unpublished: BTreeSet<Arc<str>>,
-    /// When the log told last what a step saw.
-    told_at: Option<Instant>,
+    /// When a planning step was last logged; `None` before the first one.
+    summary_logged_at: Option<Instant>,
     peers: PeerHandle,
     handle: PlacementHandle,
     inbox: mpsc::UnboundedReceiver<Command>,
 }
 
 impl PlacementTask {
-    /// A task that orders while `lease` is held.
+    /// Creates a task that gives orders while `lease` is held.
     pub fn new(
         context: Context,
         planner: Planner,
@@ -87,7 +90,7 @@
             leading: None,
             fenced_token: 0,
             unpublished: BTreeSet::new(),
-            told_at: None,
+            summary_logged_at: None,
             peers,
             handle,
             inbox: inbox.0,
@@ -97,62 +100,64 @@
     /// Runs until the process ends.
     pub async fn run(mut self) {
         let mut next = Instant::now() + TICK;
-        let mut rests_until = Instant::now();
+        let mut planning_paused_until = Instant::now();
         let mut stepped_at = None;
         let mut quiet_until = Instant::now();
         let mut next_publication = Instant::now();
-        // The keeper of the lease ends when the process is told to stop.
+        // The lease's sender is dropped when the process is asked to stop.
         let mut lease_over = false;
         loop {
             let mut lease = self.lease.clone();
             tokio::select! {
                 command = self.inbox.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 changed = lease.changed(), if !lease_over => lease_over = changed.is_err(),
                 () = sleep_until(next), if self.leading.is_some() => {}
                 () = sleep_until(next_publication), if !self.unpublished.is_empty() => {
-                    self.publish_all();
+                    self.send_inventories();
                     next_publication = Instant::now() + self.publish_pause();
                     continue;
                 }
             }
             while let Ok(command) = self.inbox.try_recv() {
-                self.command(command);
+                self.handle_command(command);
             }
             self.follow_lease();
             if self.leading.is_some() {
                 if stepped_at.is_some_and(|at: Instant| at.elapsed() > FREEZE) {
-                    quiet_until = Instant::now() + QUIET_AFTER_FREEZE;
+                    quiet_until = Instant::now() + NO_ORDERS_AFTER_FREEZE;
                 }
                 self.read_reports();
                 let began = Instant::now();
-                if began >= quiet_until && began >= rests_until {
-                    self.order();
-                    rests_until = Instant::now() + began.elapsed() * REST_PART;
+                if began >= quiet_until && began >= planning_paused_until {
+                    self.plan_orders();
+                    planning_paused_until =
+                        Instant::now() + began.elapsed() * PLANNING_PAUSE_FACTOR;
                 }
             }
-            // Only a leader takes a step every tick.
+            // Only a leader takes a step in every tick, so only its pauses show a
+            // freeze.
             stepped_at = self.leading.map(|_| Instant::now());
             next = Instant::now() + TICK;
-            if rests_until > Instant::now() {
-                next = rests_until;
+            if planning_paused_until > Instant::now() {
+                next = planning_paused_until;
             }
         }
     }
 
     fn publish_pause(&self) -> Duration {
         let pause = PUBLISH_PAUSE * self.context.dispatch.nodes();
-        pause.min(LONGEST_PUBLISH_PAUSE)
+        pause.min(MAX_PUBLISH_PAUSE)
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Configure(configuration) => {
                 self.configuration = configuration;
                 if self.leading.is_some() {
-                    self.runners.cover(&self.configuration);
+                    self.runners.track_engines(&self.configuration);
                 }
             }
             Command::UpdateRunner(runner) => {
@@ -163,16 +168,16 @@
             Command::SetEvacuated(zones) => self.runners.set_evacuated(zones),
             Command::RetainRunners(kept) => self.runners.retain(&kept),
             Command::Demand(node, items, unreachable) => {
-                let believed_for = demand_believed_for(self.context.dispatch.nodes());
-                self.book.update(node, items, believed_for, now());
-                self.runners.doubt(&unreachable);
+                let valid_for = demand_valid_for(self.context.dispatch.nodes());
+                self.book.update(node, items, valid_for, now());
+                self.runners.reread_unreachable(&unreachable);
             }
-            Command::Ordered(result) => self.ordered(result),
-            Command::Reported(result) => self.reported(result),
+            Command::Ordered(result) => self.handle_order_result(result),
+            Command::Reported(result) => self.handle_report(result),
         }
     }
 
-    /// Begins or ends leading as the lease says.
+    /// Starts or stops leading when the lease was acquired or lost.
     fn follow_lease(&mut self) {
         let token = self.lease.borrow_and_update().map(|lease| lease.token);
         if token == self.leading {
@@ -182,20 +187,20 @@
         self.context.metrics.leads(token.is_some());
         self.planner.restart(now());
         match token {
-            Some(_) => self.runners.lead(&self.configuration),
-            None => self.runners.rest(),
+            Some(_) => self.runners.start_leading(&self.configuration),
+            None => self.runners.stop_leading(),
         }
     }
 
     fn read_reports(&mut self) {
         let now = Instant::now();
-        for entry in self.runners.led_mut() {
+        for entry in self.runners.tracked_mut() {
             let due = entry.report_at.is_some_and(|at| at <= now);
-            if !due || entry.asking || !entry.view.open {
+            if !due || entry.report_in_progress || !entry.view.open {
                 continue;
             }
-            entry.asking = true;
-            entry.looked_at = Instant::now();
+            entry.report_in_progress = true;
+            entry.report_requested_at = Instant::now();
             entry.report_at = None;
             let (context, runner) = (self.context.clone(), entry.runner.clone());
             let handle = self.handle.clone();
@@ -205,17 +210,17 @@
         }
     }
 
-    fn reported(&mut self, result: ReportResult) {
+    fn handle_report(&mut self, result: ReportResult) {
         let Some(entry) = self.runners.get_mut(&result.runner) else {
             return;
         };
-        entry.asking = false;
+        entry.report_in_progress = false;
         entry.view.unread = false;
         let report = match result.report {
             Ok(report) => report,
-            Err(ReportError::Call(CallError::HeldBack(wait))) => {
-                entry.held_back_until = Instant::now().checked_add(wait);
-                entry.report_at = entry.held_back_until;
+            Err(ReportError::Call(CallError::NotBefore(wait))) => {
+                entry.no_calls_until = Instant::now().checked_add(wait);
+                entry.report_at = entry.no_calls_until;
                 return;
             }
             Err(cause) => {
@@ -238,72 +243,79 @@
             on_disk = report.copies.disk.len()
         );
         if report.sequence < entry.view.sequence {
-            entry.report_at = Some(Instant::now() + entry.report_again());
+            entry.report_at = Some(Instant::now() + entry.report_retry_delay());
             return;
         }
-        take_report(entry, report);
-        self.publish(&result.runner);
+        apply_report(entry, report);
+        self.publish_runner(&result.runner);
     }
 
-    /// Takes in at this node what a runner holds, and notes it for the others.
-    fn publish(&mut self, runner: &Arc<str>) {
+    /// Updates a runner's inventory in this node's dispatcher, and queues it for the
+    /// other nodes.
+    fn publish_runner(&mut self, runner: &Arc<str>) {
         if let Some(entry) = self.runners.get(runner) {
             self.context.dispatch.update_models(inventory(&entry.view));
             self.unpublished.insert(runner.clone());
         }
     }
 
-    /// Tells all nodes what runners hold.
-    fn publish_all(&mut self) {
+    /// Sends the queued inventories to all nodes.
+    fn send_inventories(&mut self) {
         let unpublished = std::mem::take(&mut self.unpublished);
         let entries = unpublished
             .iter()
             .filter_map(|runner| self.runners.get(runner));
         let inventories = entries.map(|entry| inventory(&entry.view)).collect();
-        for part in parts(inventories) {
-            self.peers.publish(part);
+        for message in split_into_messages(inventories) {
+            self.peers.publish_inventories(message);
         }
     }
 
-    fn order(&mut self) {
+    fn plan_orders(&mut self) {
         let lease = *self.lease.borrow();
         let may_order = |lease: &Lease| lease.may_order(now()) && lease.token > self.fenced_token;
         let Some(lease) = lease.filter(may_order) else {
             return;
         };
-        self.runners.set_leaving(&self.context.dispatch.leaving());
+        self.runners.set_draining(&self.context.dispatch.leaving());
         self.runners.set_limits(&self.context.dispatch.limits());
-        let mut views: Vec<RunnerView> =
-            self.runners.led().map(|entry| entry.view.clone()).collect();
+        let mut views: Vec<RunnerView> = self
+            .runners
+            .tracked()
+            .map(|entry| entry.view.clone())
+            .collect();
         let orders = self
             .planner
             .plan(&self.configuration, &mut views, &mut self.book, now());
-        self.runners.look(self.planner.looks());
+        self.runners.request_reports(self.planner.looks());
         for order in orders {
-            self.give(order, lease.token);
+            self.send_order(order, lease.token);
         }
-        if self.told_at.is_none_or(|at| at.elapsed() >= SUMMARY_PAUSE) {
-            self.told_at = Some(Instant::now());
-            self.planner.summaries().iter().for_each(tell);
+        if self
+            .summary_logged_at
+            .is_none_or(|at| at.elapsed() >= SUMMARY_PAUSE)
+        {
+            self.summary_logged_at = Some(Instant::now());
+            self.planner.summaries().iter().for_each(log_step);
         }
     }
 
-    fn give(&mut self, planned: PlannedOrder, token: u64) {
+    fn send_order(&mut self, planned: PlannedOrder, token: u64) {
         let Some(entry) = self.runners.get_mut(&planned.runner) else {
             return;
         };
-        if entry.ordering {
+        if entry.order_in_progress {
             return;
         }
-        entry.ordering = true;
-        let takes = load_time(&self.configuration, &entry.view, &planned.action) + REPORT_LAG;
-        entry.view.busy_until = Some(now() + takes);
+        entry.order_in_progress = true;
+        let duration = load_time(&self.configuration, &entry.view, &planned.action) + REPORT_LAG;
+        entry.view.busy_until = Some(now() + duration);
         entry.view.ordered = Some(planned.action.clone());
         entry.report_at = None;
         let order = Order {
             runner: entry.runner.name.clone(),
             action: planned.action,
-            holder: holder(&self.context),
+            holder: order_holder(&self.context),
             fencing_token: token,
             expected_sequence: entry.view.sequence,
         };
@@ -320,14 +332,17 @@
         );
         let (context, runner) = (self.context.clone(), entry.runner.clone());
         let (handle, lease) = (self.handle.clone(), self.lease.clone());
-        // What is on its way, too: requests wait only for what was ordered.
-        self.publish(&planned.runner);
+        // Published already now, with the load in progress: requests wait only for a
+        // load that was ordered.
+        self.publish_runner(&planned.runner);
         crate::tasks::spawn(async move {
-            handle.send(Command::Ordered(give(context, runner, order, lease).await));
+            handle.send(Command::Ordered(
+                send_order(context, runner, order, lease).await,
+            ));
         });
     }
 
-    fn ordered(&mut self, result: OrderResult) {
+    fn handle_order_result(&mut self, result: OrderResult) {
         let outcome = if result.answer.is_ok() {
             "answered"
         } else {
@@ -339,7 +354,7 @@
         let Some(entry) = self.runners.get_mut(&result.runner) else {
             return;
         };
-        entry.ordering = false;
+        entry.order_in_progress = false;
         let load_time = load_time(&self.configuration, &entry.view, &result.order.action);
         let report_lag = if entry.view.limit.is_some() {
             LIMITED_REPORT_LAG
@@ -363,7 +378,7 @@
         let later = |delay: Duration| Some(Instant::now() + delay);
         match result.answer {
             Ok(OrderAnswer::Accepted | OrderAnswer::AlreadyHolds) => {
-                accepted(entry, &result.order);
+                apply_accepted_order(entry, &result.order);
                 entry.report_at = later(load_time + report_lag);
             }
             Err(CallError::Unreachable(_)) => {
@@ -372,14 +387,14 @@
                 entry.view.reachable = false;
                 entry.report_at = later(REPORT_RETRY);
             }
-            Err(CallError::HeldBack(wait)) => {
+            Err(CallError::NotBefore(wait)) => {
                 entry.view.ordered = None;
-                entry.held_back_until = Instant::now().checked_add(wait);
-                entry.report_at = entry.held_back_until;
+                entry.no_calls_until = Instant::now().checked_add(wait);
+                entry.report_at = entry.no_calls_until;
             }
             Err(CallError::NotSent(_)) => {
                 entry.view.ordered = None;
-                entry.report_at = later(entry.report_again());
+                entry.report_at = later(entry.report_retry_delay());
             }
             Ok(_) | Err(CallError::Unanswered(_)) => {
                 entry.view.reported = false;
--- a/crates/gateway/src/placement/tracked_runner.rs
+++ b/crates/gateway/src/placement/tracked_runner.rs
@@ -1,4 +1,4 @@
-//! A runner as the leader keeps it: what it reported and what it was ordered.
+//! A runner as the leader tracks it: its last report and its pending order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,59 +7,62 @@
 use barleyspar_loading::RunnerView;
 use tokio::time::Instant;
 
-/// Time until a report is read again. A look costs little (a report is 300 bytes),
-/// what it tells too late holds up a cold start.
-const REPORT_AGAIN: Duration = Duration::from_millis(60);
-/// The same for a rate-limited runner, where each look takes a call from callers.
-const LIMITED_REPORT_AGAIN: Duration = Duration::from_millis(400);
-/// Time for which a runner is thought busy of whose order nothing is known. A
-/// runner that stays busy longer is thought to stay so as long again.
-const UNKNOWN_BUSY: Duration = Duration::from_secs(1);
+/// Delay before a report is read again while the runner is not done with its orders. A
+/// read is cheap (a report is 300 bytes), whereas a late report delays a cold start.
+const REPORT_DELAY: Duration = Duration::from_millis(60);
+/// The same for a rate-limited runner, where each read takes a permit from callers.
+const LIMITED_REPORT_DELAY: Duration = Duration::from_millis(400);
+/// Time for which a busy runner is assumed to stay busy if its order is unknown. A
+/// runner that is still busy after it is assumed to stay so for as long again.
+const ASSUMED_BUSY_FOR: Duration = Duration::from_secs(1);
 
-/// A runner with its entry and what the leader does there.
-pub struct Entry {
-    /// The runner as discovery shows it.
+/// A runner that the leader may give orders, with the state of its reports and orders.
+pub struct TrackedRunner {
+    /// The runner's entry in the store.
     pub runner: Arc<Runner>,
-    /// The runner as the planner sees it.
+    /// The runner's state as input of the planner.
     pub view: RunnerView,
-    /// When its report is read next, if it is.
+    /// When the runner's report is read next; `None` if no read is due.
     pub report_at: Option<Instant>,
-    /// When its report was asked for last.
-    pub looked_at: Instant,
-    /// Whether its report is being read.
-    pub asking: bool,
-    /// Whether an order is on its way to it.
-    pub ordering: bool,
-    /// Until when it may not be called: its limit is reached, or it asked for a pause.
-    pub held_back_until: Option<Instant>,
+    /// When the runner's report was last requested.
+    pub report_requested_at: Instant,
+    /// Whether a read of the runner's report is in progress.
+    pub report_in_progress: bool,
+    /// Whether an order to the runner is in progress.
+    pub order_in_progress: bool,
+    /// Until when the runner may not be called, because its rate limit is reached or it
+    /// requested a pause; `None` if it may.
+    pub no_calls_until: Option<Instant>,
 }
 
-impl Entry {
-    /// Time until its report is read again, where the last one was too early.
-    pub fn report_again(&self) -> Duration {
+impl TrackedRunner {
+    /// Returns the delay before the report is read again if the last one came too
+    /// early.
+    pub fn report_retry_delay(&self) -> Duration {
         if self.view.limit.is_some() {
-            LIMITED_REPORT_AGAIN
+            LIMITED_REPORT_DELAY
         } else {
-            REPORT_AGAIN
+            REPORT_DELAY
         }
     }
 
-    /// A runner of which only the discovery's entry is known.
+    /// Creates the entry of a runner of which nothing but its entry in the store is
+    /// known.
     pub fn new(runner: &Arc<Runner>) -> Self {
         Self {
             runner: runner.clone(),
             view: RunnerView::new(runner),
             report_at: Some(Instant::now()),
-            looked_at: Instant::now(),
-            asking: false,
-            ordering: false,
-            held_back_until: None,
+            report_requested_at: Instant::now(),
+            report_in_progress: false,
+            order_in_progress: false,
+            no_calls_until: None,
         }
     }
 }
 
-/// Takes in a report that is not older than what is known.
-pub fn take_report(entry: &mut Entry, report: Report) {
+/// Applies a report with a sequence number no lower than the known one.
+pub fn apply_report(entry: &mut TrackedRunner, report: Report) {
     let view = &mut entry.view;
     view.reported = true;
     view.reachable = true;
@@ -70,21 +73,21 @@
     if !report.copies.memory.is_empty() || !report.copies.disk.is_empty() {
         view.copies = report.copies;
     }
-    if !entry.ordering && !view.busy {
+    if !entry.order_in_progress && !view.busy {
         view.ordered = None;
         view.busy_until = None;
     }
     if view.busy {
-        let unknown = Instant::now() + UNKNOWN_BUSY;
-        view.busy_until.get_or_insert(unknown.into_std());
+        let assumed_until = Instant::now() + ASSUMED_BUSY_FOR;
+        view.busy_until.get_or_insert(assumed_until.into_std());
     }
-    let settled = !view.busy && view.pending_adapters.is_empty();
-    let again = entry.report_again();
-    entry.report_at = (!settled).then(|| Instant::now() + again);
+    let is_done = !view.busy && view.pending_adapters.is_empty();
+    let delay = entry.report_retry_delay();
+    entry.report_at = (!is_done).then(|| Instant::now() + delay);
 }
 
-/// Takes in that the runner accepted `order`.
-pub fn accepted(entry: &mut Entry, order: &Order) {
+/// Applies that the runner accepted `order`, before its next report confirms it.
+pub fn apply_accepted_order(entry: &mut TrackedRunner, order: &Order) {
     let view = &mut entry.view;
     view.sequence = order.expected_sequence + 1;
     match &order.action {
@@ -102,7 +105,8 @@
     }
 }
 
-/// Time that `runner` takes for a load, once it begins; nothing for other orders.
+/// Returns how long `runner` takes to load the model once it begins; zero for orders
+/// other than loading a known model.
 pub fn load_time(
     configuration: &Configuration,
     runner: &RunnerView,
--- a/crates/gateway/src/restored.rs
+++ b/crates/gateway/src/restored.rs
@@ -1,8 +1,9 @@
-//! What a store that came back from a copy shows wrongly, and what is believed meanwhile.
+//! Decides what to use of a store that was restored from a backup.
 //!
-//! The copy lacks what was written since: runners and evacuations that it does not show are
-//! kept until those that wrote them have had time to write them again. And it shows runners
-//! that were gone: these are not used unless they show that they live, or stay long enough.
+//! The backup lacks what was written after it: runners and evacuations that it does not
+//! show are kept until their writers had time to write them again. It also shows
+//! runners that had gone: these are not used unless their heartbeat rises or they stay
+//! long enough.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -11,118 +12,125 @@
 use barleyspar_catalog::{Revision, Runner};
 use tokio::time::Instant;
 
-/// Time within which what the copy lacks has been written again.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(2);
-/// Time after which a runner that was gone is believed to live if it still stands there:
-/// longer than the entry of one that does not live stays.
-const LIVES_AFTER: Duration = Duration::from_secs(10);
+/// Time within which entries that the backup lacks are written again.
+const REWRITE_TIME: Duration = Duration::from_secs(2);
+/// Time after which a runner that had gone counts as alive if its entry is still there:
+/// longer than the entry of a dead runner lasts.
+const ALIVE_AFTER: Duration = Duration::from_secs(10);
 /// Time for which a runner that has gone is remembered.
 const REMEMBERED_FOR: Duration = Duration::from_secs(600);
 
 /// A runner that has gone.
 #[derive(Debug)]
-struct Gone {
+struct GoneRunner {
     id: Arc<str>,
     heartbeat: u64,
     era: u32,
     at: Instant,
 }
 
-/// A runner that the copy shows though it was gone.
+/// A runner that the backup shows although it had gone, so that it may be dead.
 #[derive(Debug)]
-struct Doubtful {
+struct UncertainRunner {
     runner: Runner,
     revision: Revision,
-    believed_at: Instant,
+    alive_at: Instant,
 }
 
-/// What is to be done about a store that came back from a copy.
+/// A decision on an entry that was uncertain after the store was restored from a
+/// backup.
 #[derive(Debug)]
-pub enum Settled {
-    /// Nobody has written this runner again: it is gone.
+pub enum Decision {
+    /// The runner was not written again within [`REWRITE_TIME`] and has gone.
     RunnerGone(Arc<str>),
-    /// Nobody has written this evacuation again: it was taken back.
-    NotEvacuated(Arc<str>),
-    /// This runner has stood there long enough.
-    RunnerLives(Box<Runner>, Revision),
+    /// The evacuation was not written again within [`REWRITE_TIME`] and has ended.
+    EvacuationEnded(Arc<str>),
+    /// The runner's entry has lasted for [`ALIVE_AFTER`], so the runner is alive.
+    RunnerAlive(Box<Runner>, Revision),
 }
 
-/// What is known besides what the store shows.
+/// The entries that are uncertain since the store was restored from a backup.
 #[derive(Debug, Default)]
 pub struct Restored {
     era: Option<u32>,
-    lacking_runners: HashSet<Arc<str>>,
-    lacking_zones: HashSet<Arc<str>>,
-    lacking_until: Option<Instant>,
-    gone: HashMap<Arc<str>, Gone>,
-    doubtful: HashMap<Arc<str>, Doubtful>,
+    missing_runners: HashSet<Arc<str>>,
+    missing_zones: HashSet<Arc<str>>,
+    missing_until: Option<Instant>,
+    gone: HashMap<Arc<str>, GoneRunner>,
+    uncertain: HashMap<Arc<str>, UncertainRunner>,
 }
 
 impl Restored {
-    /// Everything is read anew in `era`. Whether the store came back from a copy since
-    /// this node knew it.
-    pub fn begins(&mut self, era: u32) -> bool {
+    /// Records that the full state was read in `era`. Returns whether the store was
+    /// restored from a backup since this node last read it.
+    pub fn start_era(&mut self, era: u32) -> bool {
         let before = self.era.replace(era);
         before.is_some_and(|before| before < era)
     }
 
-    /// The copy lacks these runners and zones, which this node knew.
-    pub fn lacks(
+    /// Records runners and evacuated zones that this node knew and the restored store
+    /// does not show.
+    pub fn record_missing(
         &mut self,
         runners: impl IntoIterator<Item = Arc<str>>,
         zones: impl IntoIterator<Item = Arc<str>>,
     ) {
-        self.lacking_runners.extend(runners);
-        self.lacking_zones.extend(zones);
-        self.lacking_until = Some(Instant::now() + WRITTEN_AGAIN_WITHIN);
+        self.missing_runners.extend(runners);
+        self.missing_zones.extend(zones);
+        self.missing_until = Some(Instant::now() + REWRITE_TIME);
     }
 
-    /// Whether the copy lacks the runner `name`, which may be written again.
-    pub fn is_lacking(&self, name: &str) -> bool {
-        self.lacking_runners.contains(name)
+    /// Whether the restored store lacks the runner `name`, which may be written again.
+    pub fn is_runner_missing(&self, name: &str) -> bool {
+        self.missing_runners.contains(name)
     }
 
-    /// Whether the copy lacks the evacuation of `zone`, which may be written again.
-    pub fn is_zone_lacking(&self, zone: &str) -> bool {
-        self.lacking_zones.contains(zone)
+    /// Whether the restored store lacks the evacuation of `zone`, which may be written
+    /// again.
+    pub fn is_zone_missing(&self, zone: &str) -> bool {
+        self.missing_zones.contains(zone)
     }
 
-    /// The evacuation of `zone` was written.
+    /// Records that the evacuation of `zone` was written again.
     pub fn zone_written(&mut self, zone: &str) {
-        self.lacking_zones.remove(zone);
+        self.missing_zones.remove(zone);
     }
 
-    /// The store shows `runner`. Whether to believe that it is there.
-    pub fn believes(&mut self, runner: &Runner, revision: Revision) -> bool {
-        self.lacking_runners.remove(&runner.name);
-        let is_doubtful = self.gone.get(&runner.name).is_some_and(|gone| {
+    /// Checks an entry of a runner that the store shows. Returns false if the runner
+    /// had gone before the restore and may be dead; the decision then comes from
+    /// `take_due`.
+    pub fn accepts(&mut self, runner: &Runner, revision: Revision) -> bool {
+        self.missing_runners.remove(&runner.name);
+        let is_uncertain = self.gone.get(&runner.name).is_some_and(|gone| {
             gone.id == runner.id && gone.era < revision.era && runner.heartbeat <= gone.heartbeat
         });
-        if !is_doubtful {
-            self.doubtful.remove(&runner.name);
+        if !is_uncertain {
+            self.uncertain.remove(&runner.name);
             return true;
         }
-        let believed_at = Instant::now() + LIVES_AFTER;
-        let doubtful = Doubtful {
+        let alive_at = Instant::now() + ALIVE_AFTER;
+        let uncertain = UncertainRunner {
             runner: runner.clone(),
             revision,
-            believed_at,
+            alive_at,
         };
-        self.doubtful.entry(runner.name.clone()).or_insert(doubtful);
+        self.uncertain
+            .entry(runner.name.clone())
+            .or_insert(uncertain);
         false
     }
 
-    /// The store shows the runner `name` no longer.
-    pub fn removed(&mut self, name: &str) {
-        self.lacking_runners.remove(name);
-        self.doubtful.remove(name);
+    /// Records that the store's entry of the runner `name` was removed.
+    pub fn entry_removed(&mut self, name: &str) {
+        self.missing_runners.remove(name);
+        self.uncertain.remove(name);
     }
 
-    /// `runner`, which this node knew, has gone.
-    pub fn gone(&mut self, runner: &Runner) {
+    /// Records that `runner`, which this node knew, has gone.
+    pub fn record_gone(&mut self, runner: &Runner) {
         self.gone
             .retain(|_, gone| gone.at.elapsed() < REMEMBERED_FOR);
-        let gone = Gone {
+        let gone = GoneRunner {
             id: runner.id.clone(),
             heartbeat: runner.heartbeat,
             era: self.era.unwrap_or(0),
@@ -131,29 +139,29 @@
         self.gone.insert(runner.name.clone(), gone);
     }
 
-    /// When something is settled next.
-    pub fn next(&self) -> Option<Instant> {
-        let doubtful = self.doubtful.values().map(|doubtful| doubtful.believed_at);
-        doubtful.chain(self.lacking_until).min()
+    /// Returns when the next decision is due; `None` if nothing is uncertain.
+    pub fn next_decision_at(&self) -> Option<Instant> {
+        let uncertain = self.uncertain.values().map(|uncertain| uncertain.alive_at);
+        uncertain.chain(self.missing_until).min()
     }
 
-    /// What is settled by now.
-    pub fn settle(&mut self) -> Vec<Settled> {
+    /// Returns the decisions that are due now.
+    pub fn take_due(&mut self) -> Vec<Decision> {
         let now = Instant::now();
-        let mut settled = Vec::new();
-        if self.lacking_until.is_some_and(|until| until <= now) {
-            self.lacking_until = None;
-            settled.extend(self.lacking_runners.drain().map(Settled::RunnerGone));
-            settled.extend(self.lacking_zones.drain().map(Settled::NotEvacuated));
+        let mut decisions = Vec::new();
+        if self.missing_until.is_some_and(|until| until <= now) {
+            self.missing_until = None;
+            decisions.extend(self.missing_runners.drain().map(Decision::RunnerGone));
+            decisions.extend(self.missing_zones.drain().map(Decision::EvacuationEnded));
         }
-        let is_due = |doubtful: &Doubtful| doubtful.believed_at <= now;
-        for (name, doubtful) in self.doubtful.extract_if(|_, doubtful| is_due(doubtful)) {
+        let is_due = |uncertain: &UncertainRunner| uncertain.alive_at <= now;
+        for (name, uncertain) in self.uncertain.extract_if(|_, uncertain| is_due(uncertain)) {
             self.gone.remove(&name);
-            settled.push(Settled::RunnerLives(
-                Box::new(doubtful.runner),
-                doubtful.revision,
+            decisions.push(Decision::RunnerAlive(
+                Box::new(uncertain.runner),
+                uncertain.revision,
             ));
         }
-        settled
+        decisions
     }
 }
