--- /dev/null
+++ b/crates/gateway/src/placement/tracked_runner.rs
@@ -0,0 +1,126 @@
+//! A runner as the leader tracks it: its last report and its pending order.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use barleyspar_catalog::{Configuration, Order, OrderAction, Report, Runner};
+use barleyspar_loading::RunnerView;
+use tokio::time::Instant;
+
+/// Delay before a report is read again while the runner is not done with its orders. A
+/// read is cheap (a report is 300 bytes), whereas a late report delays a cold start.
+const REPORT_DELAY: Duration = Duration::from_millis(60);
+/// The same for a rate-limited runner, where each read takes a permit from callers.
+const LIMITED_REPORT_DELAY: Duration = Duration::from_millis(400);
+/// Time for which a busy runner is assumed to stay busy if its order is unknown. A
+/// runner that is still busy after it is assumed to stay so for as long again.
+const ASSUMED_BUSY_FOR: Duration = Duration::from_secs(1);
+
+/// A runner that the leader may give orders, with the state of its reports and orders.
+pub struct TrackedRunner {
+    /// The runner's entry in the store.
+    pub runner: Arc<Runner>,
+    /// The runner's state as input of the planner.
+    pub view: RunnerView,
+    /// When the runner's report is read next; `None` if no read is due.
+    pub report_at: Option<Instant>,
+    /// When the runner's report was last requested.
+    pub report_requested_at: Instant,
+    /// Whether a read of the runner's report is in progress.
+    pub report_in_progress: bool,
+    /// Whether an order to the runner is in progress.
+    pub order_in_progress: bool,
+    /// Until when the runner may not be called, because its rate limit is reached or it
+    /// requested a pause; `None` if it may.
+    pub no_calls_until: Option<Instant>,
+}
+
+impl TrackedRunner {
+    /// Returns the delay before the report is read again if the last one came too
+    /// early.
+    pub fn report_retry_delay(&self) -> Duration {
+        if self.view.limit.is_some() {
+            LIMITED_REPORT_DELAY
+        } else {
+            REPORT_DELAY
+        }
+    }
+
+    /// Creates the entry of a runner of which nothing but its entry in the store is
+    /// known.
+    pub fn new(runner: &Arc<Runner>) -> Self {
+        Self {
+            runner: runner.clone(),
+            view: RunnerView::new(runner),
+            report_at: Some(Instant::now()),
+            report_requested_at: Instant::now(),
+            report_in_progress: false,
+            order_in_progress: false,
+            no_calls_until: None,
+        }
+    }
+}
+
+/// Applies a report with a sequence number no lower than the known one.
+pub fn apply_report(entry: &mut TrackedRunner, report: Report) {
+    let view = &mut entry.view;
+    view.reported = true;
+    view.reachable = true;
+    view.sequence = report.sequence;
+    view.busy = report.busy;
+    view.models = report.models;
+    view.pending_adapters = report.pending_adapters;
+    if !report.copies.memory.is_empty() || !report.copies.disk.is_empty() {
+        view.copies = report.copies;
+    }
+    if !entry.order_in_progress && !view.busy {
+        view.ordered = None;
+        view.busy_until = None;
+    }
+    if view.busy {
+        let assumed_until = Instant::now() + ASSUMED_BUSY_FOR;
+        view.busy_until.get_or_insert(assumed_until.into_std());
+    }
+    let is_done = !view.busy && view.pending_adapters.is_empty();
+    let delay = entry.report_retry_delay();
+    entry.report_at = (!is_done).then(|| Instant::now() + delay);
+}
+
+/// Applies that the runner accepted `order`, before its next report confirms it.
+pub fn apply_accepted_order(entry: &mut TrackedRunner, order: &Order) {
+    let view = &mut entry.view;
+    view.sequence = order.expected_sequence + 1;
+    match &order.action {
+        OrderAction::LoadModel { .. } | OrderAction::UnloadModel { .. } => view.busy = true,
+        OrderAction::LoadAdapter { model, adapter } => {
+            view.ordered = None;
+            view.pending_adapters.push((model.clone(), adapter.clone()));
+        }
+        OrderAction::UnloadAdapter { model, adapter } => {
+            view.ordered = None;
+            for held in view.models.iter_mut().filter(|held| held.model == *model) {
+                held.adapters.retain(|name| name != adapter);
+            }
+        }
+    }
+}
+
+/// Returns how long `runner` takes to load the model once it begins; zero for orders
+/// other than loading a known model.
+pub fn load_time(
+    configuration: &Configuration,
+    runner: &RunnerView,
+    action: &OrderAction,
+) -> Duration {
+    let OrderAction::LoadModel { model } = action else {
+        return Duration::ZERO;
+    };
+    let engine = configuration
+        .services
+        .get(&runner.service)
+        .and_then(|service| service.engine.as_ref());
+    let Some(spec) = engine.and_then(|engine| engine.models.get(model)) else {
+        return Duration::ZERO;
+    };
+    runner.source(model).load_time(spec)
+}
