--- a/crates/loading/benches/planner.rs
+++ b/crates/loading/benches/planner.rs
@@ -1,7 +1,7 @@
-//! Processor time of one step of the planner, by the size of the site.
+//! CPU time of one planning step by the size of the site.
 //!
-//! `cargo bench -p barleyspar-loading` prints a line for each size: runners,
-//! models, those that somebody waits for, milliseconds for a step.
+//! `cargo bench -p barleyspar-loading` prints a line for each size: the number of
+//! runners, models and models with waiting requests, and the milliseconds per step.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,12 +14,13 @@
 use barleyspar_loading::{DemandBook, PaceLimits, Planner, PlannerSettings, RunnerView, Switches};
 use barleyspar_policy::Program;
 
-/// Runners and models of the users' deployments, and of the brief's plan.
+/// Numbers of runners and models in the users' deployments, and in the largest planned
+/// one.
 const SIZES: [(usize, usize); 4] = [(9, 50), (90, 481), (240, 862), (3700, 900)];
-const HELD: usize = 3;
+const MODELS_PER_RUNNER: usize = 3;
 const ON_DISK: usize = 18;
-/// One model in this many is waited for.
-const WAITED_FOR: usize = 12;
+/// One model in this many has a waiting request.
+const WAITING_EVERY: usize = 12;
 const STEPS: u32 = 40;
 const POLICY: &str = include_str!("../../../deploy/policy.rhai");
 
@@ -61,7 +62,7 @@
 }
 
 fn runner(number: usize, models: usize) -> RunnerView {
-    let at = |offset: usize| name((number * HELD + offset * 7) % models);
+    let at = |offset: usize| name((number * MODELS_PER_RUNNER + offset * 7) % models);
     let held = |model| HeldModel {
         model,
         version: 1,
@@ -75,13 +76,13 @@
         evacuated: false,
         limit: None,
         held_back: false,
-        overtaxed: Vec::new(),
+        over_limit: Vec::new(),
         unread: false,
         reported: true,
         reachable: true,
         sequence: 0,
         busy: false,
-        models: (0..HELD).map(at).map(held).collect(),
+        models: (0..MODELS_PER_RUNNER).map(at).map(held).collect(),
         pending_adapters: Vec::new(),
         copies: WeightCopies {
             memory: Vec::new(),
@@ -97,7 +98,7 @@
         service: "engine".into(),
         model: name(number),
         adapter: None,
-        waiting: u32::from(number.is_multiple_of(WAITED_FOR)),
+        waiting: u32::from(number.is_multiple_of(WAITING_EVERY)),
         priority: (number % 3) as u8,
         in_flight: 1,
         rate: 0.2,
@@ -110,7 +111,7 @@
         let configuration = configuration(models);
         let views: Vec<RunnerView> = (0..runners).map(|number| runner(number, models)).collect();
         let settings = PlannerSettings {
-            policy: Program::compile(POLICY).expect("the policy is well formed"),
+            policy: Program::compile(POLICY).expect("the policy compiles"),
             pace: PaceLimits {
                 window: Duration::from_secs(5),
                 overage: 1.1,
@@ -119,16 +120,21 @@
         };
         let start = Instant::now();
         let mut planner = Planner::new(settings, start);
-        let mut book = DemandBook::default();
-        book.update("node".into(), demand(models), Duration::from_secs(3), start);
+        let mut cluster_demand = DemandBook::default();
+        cluster_demand.update("node".into(), demand(models), Duration::from_secs(3), start);
         for _ in 0..STEPS {
-            planner.plan(&configuration, &mut views.clone(), &mut book, start);
+            planner.plan(
+                &configuration,
+                &mut views.clone(),
+                &mut cluster_demand,
+                start,
+            );
         }
-        let took = start.elapsed() / STEPS;
-        let waited_for = models.div_ceil(WAITED_FOR);
+        let step_time = start.elapsed() / STEPS;
+        let waiting = models.div_ceil(WAITING_EVERY);
         println!(
-            "{runners} runners, {models} models, {waited_for} waited for: {:.2} ms",
-            took.as_secs_f64() * 1000.0
+            "{runners} runners, {models} models, {waiting} with waiting requests: {:.2} ms",
+            step_time.as_secs_f64() * 1000.0
         );
     }
 }
--- a/crates/loading/src/adapters.rs
+++ b/crates/loading/src/adapters.rs
@@ -1,4 +1,5 @@
-//! Which adapters are loaded beside the models that are held.
+//! Decides which adapters (LoRA weights) are loaded next to the models that runners
+//! already hold.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,34 +8,36 @@
 use barleyspar_catalog::{EngineSpec, OrderAction};
 
 use crate::demand::{DemandBook, ModelDemand};
-use crate::memory::{adapters, free_mb};
+use crate::memory::{adapter_count, free_mb};
 use crate::view::RunnerView;
 
-/// Adapters that may be on their way to one runner.
-const MOST_PENDING: usize = 4;
+/// Maximum number of adapters that one runner may be loading at once.
+const MAXIMUM_PENDING: usize = 4;
 
-/// What the planner knows of one service's adapters.
+/// Demand and capacity of one service, from which adapter orders are derived in one
+/// planning step.
 pub struct AdapterPlan<'a> {
-    /// The service.
+    /// Name of the service whose adapters are planned.
     pub service: &'a Arc<str>,
-    /// What its runners are like.
+    /// Accelerator memory, adapter capacity and model sizes of the service's runners.
     pub engine: &'a EngineSpec,
-    /// Demand by model and adapter.
+    /// Demand of the whole cluster, by model and adapter.
     pub demand: &'a BTreeMap<(Arc<str>, Arc<str>), ModelDemand>,
-    /// When adapters were last used.
-    pub book: &'a DemandBook,
-    /// Now.
+    /// Demand history, which tells how long an adapter has been idle.
+    pub cluster_demand: &'a DemandBook,
+    /// Time of the planning step.
     pub now: Instant,
 }
 
 impl AdapterPlan<'_> {
-    /// Adapters that somebody waits for and no runner holds, the most urgent first.
-    pub fn wanted(&self, runners: &[RunnerView]) -> Vec<(Arc<str>, Arc<str>)> {
-        let mut wanted: Vec<_> = self
+    /// Returns the adapters with waiting requests that no runner holds or is loading,
+    /// most urgent first. Equal priorities are ordered by the number of waiting requests.
+    pub fn missing_adapters(&self, runners: &[RunnerView]) -> Vec<(Arc<str>, Arc<str>)> {
+        let mut missing: Vec<_> = self
             .demand
             .iter()
             .filter(|((model, adapter), demand)| {
-                demand.waiting > 0 && !self.is_there(runners, model, adapter)
+                demand.waiting > 0 && !self.is_loaded_or_loading(runners, model, adapter)
             })
             .map(|(key, demand)| {
                 (
@@ -44,17 +47,17 @@
                 )
             })
             .collect();
-        wanted.sort();
-        wanted.into_iter().map(|(_, _, key)| key).collect()
+        missing.sort();
+        missing.into_iter().map(|(_, _, key)| key).collect()
     }
 
-    fn is_there(&self, runners: &[RunnerView], model: &str, adapter: &str) -> bool {
+    fn is_loaded_or_loading(&self, runners: &[RunnerView], model: &str, adapter: &str) -> bool {
         runners
             .iter()
-            .filter(|runner| runner.service == *self.service && runner.takes_work())
+            .filter(|runner| runner.service == *self.service && runner.accepts_requests())
             .any(|runner| {
                 let held = runner
-                    .held(model)
+                    .loaded_model(model)
                     .is_some_and(|held| held.adapters.iter().any(|name| &**name == adapter));
                 let pending = runner
                     .pending_adapters
@@ -64,38 +67,44 @@
             })
     }
 
-    /// The next step towards having the adapter: the runner's index and its order.
-    pub fn step(
+    /// Returns the next order towards loading `adapter` and the index of its runner: the
+    /// load itself, or the unload of another adapter if the runner is full. `None` if no
+    /// runner holds `model` and accepts the order, or if all adapters of the chosen
+    /// runner are in use.
+    pub fn next_order(
         &self,
         runners: &[RunnerView],
         model: &Arc<str>,
         adapter: &Arc<str>,
     ) -> Option<(usize, OrderAction)> {
-        let size = self.engine.models.get(model)?.adapter_mb;
+        let size_mb = self.engine.models.get(model)?.adapter_mb;
         let (index, runner) = runners
             .iter()
             .enumerate()
-            .filter(|(_, runner)| runner.service == *self.service && runner.orderable_once_read())
-            .filter(|(_, runner)| runner.held(model).is_some())
-            .filter(|(_, runner)| runner.pending_adapters.len() < MOST_PENDING)
+            .filter(|(_, runner)| {
+                runner.service == *self.service && runner.accepts_orders_once_read()
+            })
+            .filter(|(_, runner)| runner.loaded_model(model).is_some())
+            .filter(|(_, runner)| runner.pending_adapters.len() < MAXIMUM_PENDING)
             .min_by_key(|(_, runner)| {
-                let key = (runner.limit.is_some(), adapters(runner));
+                let key = (runner.limit.is_some(), adapter_count(runner));
                 (key, runner.id.clone())
             })?;
-        let full = adapters(runner) >= self.engine.adapter_capacity as usize;
-        if !full && free_mb(runner, self.engine) >= size {
+        let is_full = adapter_count(runner) >= self.engine.adapter_capacity as usize;
+        if !is_full && free_mb(runner, self.engine) >= size_mb {
             let action = OrderAction::LoadAdapter {
                 model: model.clone(),
                 adapter: adapter.clone(),
             };
             return Some((index, action));
         }
-        let (model, adapter) = self.least_used(runner)?;
+        let (model, adapter) = self.longest_idle(runner)?;
         Some((index, OrderAction::UnloadAdapter { model, adapter }))
     }
 
-    /// The runner's adapter that was used the longest ago, unless all are in use.
-    fn least_used(&self, runner: &RunnerView) -> Option<(Arc<str>, Arc<str>)> {
+    /// Returns the runner's adapter that has been idle the longest, or `None` if all are
+    /// in use.
+    fn longest_idle(&self, runner: &RunnerView) -> Option<(Arc<str>, Arc<str>)> {
         runner
             .models
             .iter()
@@ -106,7 +115,7 @@
             })
             .filter(|key| !self.demand.get(key).is_some_and(ModelDemand::is_active))
             .max_by_key(|(model, adapter)| {
-                self.book
+                self.cluster_demand
                     .idle_time(self.service, model, Some(adapter), self.now)
                     .unwrap_or(Duration::MAX)
             })
--- a/crates/loading/src/decisions.rs
+++ b/crates/loading/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What the operators' policy decides for each model: how many replicas, and in
+//! Evaluates the operators' policy for each model: how many replicas it may have, and in
 //! which zones.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,40 +11,41 @@
 use crate::demand::ModelDemand;
 use crate::view::RunnerView;
 
-/// What a policy decided for one model.
+/// Replica counts and zones that the policy decided for one model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Decided {
+pub struct ReplicaDecision {
     /// Replicas to have while the model is in use.
-    pub wanted: usize,
-    /// Replicas at most, whatever happens.
-    pub most: usize,
-    /// Zones whose runners may hold it; empty means all.
+    pub target: usize,
+    /// Upper limit of replicas, unreachable ones included.
+    pub maximum: usize,
+    /// Zones whose runners may hold the model; empty means all zones.
     pub zones: Vec<Arc<str>>,
 }
 
-impl Decided {
-    /// Whether runners of `zone` may hold the model.
+impl ReplicaDecision {
+    /// Returns whether runners of `zone` may hold the model.
     pub fn allows(&self, zone: &str) -> bool {
         self.zones.is_empty() || self.zones.iter().any(|allowed| &**allowed == zone)
     }
 }
 
-/// What holds for a model whose policy has failed from the start.
-impl Default for Decided {
+/// The decision for a model whose policy has failed on every evaluation: one replica in
+/// any zone.
+impl Default for ReplicaDecision {
     fn default() -> Self {
         Self {
-            wanted: 1,
-            most: 1,
+            target: 1,
+            maximum: 1,
             zones: Vec::new(),
         }
     }
 }
 
-impl From<Decision> for Decided {
+impl From<Decision> for ReplicaDecision {
     fn from(decision: Decision) -> Self {
         Self {
-            wanted: decision.wanted() as usize,
-            most: decision.replicas as usize,
+            target: decision.wanted() as usize,
+            maximum: decision.replicas as usize,
             zones: decision
                 .zones
                 .iter()
@@ -54,82 +55,84 @@
     }
 }
 
-/// What the policy is asked about.
-pub struct Question<'a> {
-    /// The service.
+/// State of one service that the policy decides about.
+pub struct PolicyQuery<'a> {
+    /// Name of the service.
     pub service: &'a Arc<str>,
-    /// What its runners are like.
+    /// Capacity of the service's runners; the policy sees the number of slots.
     pub engine: &'a EngineSpec,
-    /// Demand by model.
+    /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that came while it had no replica.
-    pub starved: &'a BTreeMap<Arc<str>, f64>,
-    /// All runners.
+    /// Requests by model that arrived while it had no replica.
+    pub unserved: &'a BTreeMap<Arc<str>, f64>,
+    /// All runners, those of other services included.
     pub runners: &'a [RunnerView],
 }
 
-/// What a decision depends on, as coarsely as it makes a difference: the policy
-/// is asked again when this changes.
+/// Policy inputs of one model, rounded to the precision that matters. The policy is
+/// evaluated again only when they change.
 #[derive(Debug, Default, PartialEq)]
-struct Inputs {
+struct PolicyInputs {
     runners: u32,
     zones: usize,
-    tenths_a_second: u64,
+    tenths_per_second: u64,
     in_flight: u32,
     waiting: u32,
     priority: u8,
-    starved: u64,
+    unserved: u64,
 }
 
-impl Inputs {
-    fn of(runners: u32, zones: &[ZoneName], demand: &ModelDemand, starved: f64) -> Self {
+impl PolicyInputs {
+    fn of(runners: u32, zones: &[ZoneName], demand: &ModelDemand, unserved: f64) -> Self {
         Self {
             runners,
             zones: zones.len(),
-            tenths_a_second: (demand.rate * 10.0).round() as u64,
+            tenths_per_second: (demand.rate * 10.0).round() as u64,
             in_flight: demand.in_flight,
             waiting: demand.waiting,
             priority: demand.priority,
-            starved: starved.round() as u64,
+            unserved: unserved.round() as u64,
         }
     }
 }
 
-/// Decisions by service and model; the last one holds while the policy fails.
+/// The latest decision for each model, by service and model. It stays in force while the
+/// policy fails.
 #[derive(Debug, Default)]
-pub struct Decisions {
-    last: BTreeMap<(Arc<str>, Arc<str>), (Inputs, Decided)>,
+pub struct PolicyDecisions {
+    latest: BTreeMap<(Arc<str>, Arc<str>), (PolicyInputs, ReplicaDecision)>,
 }
 
-impl Decisions {
-    /// What `policy` decides for each model with demand.
+impl PolicyDecisions {
+    /// Returns the decision of `policy` for each model with demand, from the cache where
+    /// the inputs have not changed.
     pub fn decide(
         &mut self,
         policy: &Program,
-        question: &Question<'_>,
-    ) -> BTreeMap<Arc<str>, Decided> {
-        let open = question
+        query: &PolicyQuery<'_>,
+    ) -> BTreeMap<Arc<str>, ReplicaDecision> {
+        let available = query
             .runners
             .iter()
-            .filter(|runner| runner.service == *question.service && runner.takes_work());
-        let zones: BTreeSet<ZoneName> = open
+            .filter(|runner| runner.service == *query.service && runner.accepts_requests());
+        let zones: BTreeSet<ZoneName> = available
             .clone()
             .filter_map(|runner| ZoneName::try_from(&*runner.zone).ok())
             .collect();
-        let (runners, zones) = (open.count() as u32, Vec::from_iter(zones));
-        let mut decided = BTreeMap::new();
-        for (model, demand) in question.demand {
-            let starved = question.starved.get(model).copied().unwrap_or(0.0);
-            let inputs = Inputs::of(runners, &zones, demand, starved);
-            let last = self
-                .last
-                .entry((question.service.clone(), model.clone()))
+        let (runners, zones) = (available.count() as u32, Vec::from_iter(zones));
+        let mut decisions = BTreeMap::new();
+        for (model, demand) in query.demand {
+            let unserved = query.unserved.get(model).copied().unwrap_or(0.0);
+            let inputs = PolicyInputs::of(runners, &zones, demand, unserved);
+            let latest = self
+                .latest
+                .entry((query.service.clone(), model.clone()))
                 .or_default();
-            if last.0 != inputs {
-                last.0 = inputs;
+            if latest.0 != inputs {
+                latest.0 = inputs;
                 let context = Context {
                     model: model.to_string(),
-                    service: question.service.to_string(),
+                    service: query.service.to_string(),
                     runners,
                     zones: zones.clone(),
                     hour: 0,
@@ -138,15 +141,15 @@
                     in_flight: demand.in_flight,
                     waiting: demand.waiting,
                     priority: demand.priority,
-                    starved,
-                    slots: question.engine.slots,
+                    starved: unserved,
+                    slots: query.engine.slots,
                 };
                 if let Ok(decision) = policy.decide(&context) {
-                    last.1 = decision.into();
+                    latest.1 = decision.into();
                 }
             }
-            decided.insert(model.clone(), last.1.clone());
+            decisions.insert(model.clone(), latest.1.clone());
         }
-        decided
+        decisions
     }
 }
--- a/crates/loading/src/demand.rs
+++ b/crates/loading/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of all nodes together.
+//! Sums the demand for models and adapters that all nodes report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -6,23 +6,23 @@
 
 use barleyspar_dispatch::DemandItem;
 
-/// Demand for a model, or for one adapter of it.
+/// Demand of the whole cluster for a model, or for one of its adapters.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ModelDemand {
-    /// Requests that wait.
+    /// Requests that wait, or whose callers were told to retry later.
     pub waiting: u32,
-    /// Most urgent rank among all of its requests lately.
+    /// Priority of the most urgent recent request; 0 is the most urgent.
     pub priority: u8,
-    /// Requests in flight.
+    /// Requests that runners are processing.
     pub in_flight: u32,
-    /// Requests a second.
+    /// Requests per second, exponentially decaying.
     pub rate: f64,
 }
 
 impl ModelDemand {
     fn add(&mut self, item: &DemandItem) {
-        let first = self.waiting == 0 && self.in_flight == 0 && self.rate == 0.0;
-        self.priority = if first {
+        let is_first = self.waiting == 0 && self.in_flight == 0 && self.rate == 0.0;
+        self.priority = if is_first {
             item.priority
         } else {
             self.priority.min(item.priority)
@@ -32,142 +32,142 @@
         self.rate += f64::from(item.rate);
     }
 
-    /// Whether anybody wants it now.
+    /// Returns whether any request is waiting or in flight.
     pub fn is_active(&self) -> bool {
         self.waiting > 0 || self.in_flight > 0
     }
 }
 
-/// Key of demand: service, model and, for an adapter, its name.
-type Key = (Arc<str>, Arc<str>, Option<Arc<str>>);
+/// Key of a demand entry: service, model and, for an adapter, its name.
+type DemandKey = (Arc<str>, Arc<str>, Option<Arc<str>>);
 
-/// Keys beyond those of the items at hand from which on the numbers are given
-/// out anew: callers may name any number of models that do not exist.
+/// Number of keys, beyond twice the number of current items, after which unused keys are
+/// dropped. Needed because callers may name any number of models that do not exist.
 const SPARE_KEYS: usize = 4096;
 
-/// What each node said last.
+/// The latest demand report of each node.
 ///
-/// Keys are numbered, so that summing up what hundreds of nodes want of
-/// hundreds of models compares no names.
+/// Keys are mapped to indices, so that adding up the reports of hundreds of nodes on
+/// hundreds of models needs no string comparisons.
 #[derive(Debug, Default)]
 pub struct DemandBook {
     nodes: HashMap<Arc<str>, NodeDemand>,
-    numbers: HashMap<Key, usize>,
-    keys: Vec<Key>,
-    used_at: Vec<Option<Instant>>,
+    indices: HashMap<DemandKey, usize>,
+    keys: Vec<DemandKey>,
+    last_active: Vec<Option<Instant>>,
 }
 
 #[derive(Debug)]
 struct NodeDemand {
-    believed_until: Instant,
-    items: Vec<NumberedItem>,
+    valid_until: Instant,
+    items: Vec<IndexedItem>,
 }
 
-/// An item with the numbers of its model and of its adapter.
+/// A reported item with the indices of its model's key and its adapter's key.
 #[derive(Debug)]
-struct NumberedItem {
+struct IndexedItem {
     model: usize,
     adapter: Option<usize>,
     item: DemandItem,
 }
 
 impl DemandBook {
-    /// Takes in what `node` said, believed for `believed_for`.
+    /// Replaces the demand reported by `node`. The report expires after `valid_for`
+    /// unless the node reports again.
     pub fn update(
         &mut self,
         node: Arc<str>,
         items: Vec<DemandItem>,
-        believed_for: Duration,
+        valid_for: Duration,
         now: Instant,
     ) {
         let items = items
             .into_iter()
-            .map(|item| self.numbered(item, now))
+            .map(|item| self.index_item(item, now))
             .collect();
         let demand = NodeDemand {
-            believed_until: now + believed_for,
+            valid_until: now + valid_for,
             items,
         };
         self.nodes.insert(node, demand);
-        self.forget_unused_keys();
+        self.rebuild_index();
     }
 
-    fn numbered(&mut self, item: DemandItem, now: Instant) -> NumberedItem {
-        let model = self.number((item.service.clone(), item.model.clone(), None));
-        let adapter = item
-            .adapter
-            .clone()
-            .map(|adapter| self.number((item.service.clone(), item.model.clone(), Some(adapter))));
+    fn index_item(&mut self, item: DemandItem, now: Instant) -> IndexedItem {
+        let model = self.key_index((item.service.clone(), item.model.clone(), None));
+        let adapter = item.adapter.clone().map(|adapter| {
+            self.key_index((item.service.clone(), item.model.clone(), Some(adapter)))
+        });
         if item.waiting + item.in_flight > 0 {
-            for number in [Some(model), adapter].into_iter().flatten() {
-                self.used_at[number] = Some(now);
+            for index in [Some(model), adapter].into_iter().flatten() {
+                self.last_active[index] = Some(now);
             }
         }
-        NumberedItem {
+        IndexedItem {
             model,
             adapter,
             item,
         }
     }
 
-    fn number(&mut self, key: Key) -> usize {
-        if let Some(number) = self.numbers.get(&key) {
-            return *number;
+    fn key_index(&mut self, key: DemandKey) -> usize {
+        if let Some(index) = self.indices.get(&key) {
+            return *index;
         }
-        let number = self.keys.len();
+        let index = self.keys.len();
         self.keys.push(key.clone());
-        self.used_at.push(None);
-        self.numbers.insert(key, number);
-        number
+        self.last_active.push(None);
+        self.indices.insert(key, index);
+        index
     }
 
-    /// Numbers anew what is at hand once there are many more keys than that.
-    fn forget_unused_keys(&mut self) {
-        let at_hand: usize = self.nodes.values().map(|node| node.items.len()).sum();
-        if self.keys.len() <= 2 * at_hand + SPARE_KEYS {
+    /// Rebuilds the key index from the current items when it holds many more keys than
+    /// needed.
+    fn rebuild_index(&mut self) {
+        let item_count: usize = self.nodes.values().map(|node| node.items.len()).sum();
+        if self.keys.len() <= 2 * item_count + SPARE_KEYS {
             return;
         }
-        let former = std::mem::take(self);
-        for (node, demand) in former.nodes {
-            let items = demand.items.into_iter().map(|numbered| {
-                let (model, adapter) = (numbered.model, numbered.adapter);
-                let renewed = self.numbered(numbered.item, demand.believed_until);
-                self.used_at[renewed.model] = former.used_at[model];
-                if let (Some(new), Some(old)) = (renewed.adapter, adapter) {
-                    self.used_at[new] = former.used_at[old];
+        let previous = std::mem::take(self);
+        for (node, demand) in previous.nodes {
+            let items = demand.items.into_iter().map(|indexed| {
+                let (model, adapter) = (indexed.model, indexed.adapter);
+                let reindexed = self.index_item(indexed.item, demand.valid_until);
+                self.last_active[reindexed.model] = previous.last_active[model];
+                if let (Some(new), Some(old)) = (reindexed.adapter, adapter) {
+                    self.last_active[new] = previous.last_active[old];
                 }
-                renewed
+                reindexed
             });
             let items = items.collect();
             self.nodes.insert(
                 node,
                 NodeDemand {
-                    believed_until: demand.believed_until,
+                    valid_until: demand.valid_until,
                     items,
                 },
             );
         }
     }
 
-    /// Demand by model (adapters included) and by adapter.
-    pub fn totals(&mut self, now: Instant) -> BTreeMap<Key, ModelDemand> {
-        self.nodes.retain(|_, node| now < node.believed_until);
+    /// Returns the demand by model (requests for its adapters included) and by adapter,
+    /// after dropping expired reports.
+    pub fn totals(&mut self, now: Instant) -> BTreeMap<DemandKey, ModelDemand> {
+        self.nodes.retain(|_, node| now < node.valid_until);
         let mut sums: Vec<Option<ModelDemand>> = vec![None; self.keys.len()];
-        for numbered in self.nodes.values().flat_map(|node| &node.items) {
-            for number in [Some(numbered.model), numbered.adapter]
-                .into_iter()
-                .flatten()
-            {
-                sums[number].get_or_insert_default().add(&numbered.item);
+        for indexed in self.nodes.values().flat_map(|node| &node.items) {
+            for index in [Some(indexed.model), indexed.adapter].into_iter().flatten() {
+                sums[index].get_or_insert_default().add(&indexed.item);
             }
         }
-        let named = sums.into_iter().zip(&self.keys);
-        named
+        let by_key = sums.into_iter().zip(&self.keys);
+        by_key
             .filter_map(|(sum, key)| Some((key.clone(), sum?)))
             .collect()
     }
 
-    /// Time since the model, or an adapter of it, was last wanted.
+    /// Returns the time since the model, or the given adapter of it, last had a request
+    /// waiting or in flight. `None` if it never had one, or its key was dropped.
     pub fn idle_time(
         &self,
         service: &Arc<str>,
@@ -176,9 +176,9 @@
         now: Instant,
     ) -> Option<Duration> {
         let key = (service.clone(), model.clone(), adapter.cloned());
-        let number = *self.numbers.get(&key)?;
-        let at = self.used_at[number]?;
-        Some(now.saturating_duration_since(at))
+        let index = *self.indices.get(&key)?;
+        let last_active = self.last_active[index]?;
+        Some(now.saturating_duration_since(last_active))
     }
 }
 
--- a/crates/loading/src/lease.rs
+++ b/crates/loading/src/lease.rs
@@ -1,35 +1,37 @@
-//! The right to order runners: a lease in the store, held by one node.
+//! The leader's right to order runners: a lease in the store, held by one node.
 //!
-//! A holder orders only while its lease surely lasts by its own monotonic
-//! clock, and only after the time in which its predecessor's last order may
-//! still count has passed.
+//! The holder gives orders only while the lease is certain to be valid by its own
+//! monotonic clock, and only after the time in which the last order of the previous
+//! leader may still take effect.
 
 use std::time::{Duration, Instant};
 
-/// Times of the lease.
+/// Safety margins applied to a lease.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseSettings {
-    /// Time taken off the lease for the clock's and the network's slack.
+    /// Time subtracted from the lease's time to live, to cover clock drift and network
+    /// delay.
     pub margin: Duration,
-    /// Time before the first order, from when the lease fell vacant or was taken.
+    /// Time without orders after the previous leader's last possible order, so that it
+    /// can no longer take effect.
     pub quiet: Duration,
 }
 
 /// A lease held by this node.
 #[derive(Debug, Clone, Copy)]
 pub struct Lease {
-    /// The store's name of the lease.
+    /// Id of the lease in the store.
     pub id: u64,
     /// Fencing token: the store's revision at which the lease was taken.
     pub token: u64,
     quiet_from: Instant,
-    surely_until: Instant,
+    valid_until: Instant,
     settings: LeaseSettings,
 }
 
 impl Lease {
-    /// A lease granted for `time_to_live` by a call sent at `granted_call`; the
-    /// predecessor surely gave no order after `quiet_from`.
+    /// Creates a lease granted for `time_to_live` by a call sent at `granted_call`. The
+    /// previous leader is certain to have given no order after `quiet_from`.
     pub fn new(
         id: u64,
         token: u64,
@@ -42,29 +44,31 @@
             id,
             token,
             quiet_from,
-            surely_until: end_of(granted_call, time_to_live, settings),
+            valid_until: certain_end(granted_call, time_to_live, settings),
             settings,
         }
     }
 
-    /// Takes in a renewal whose call was sent at `sent`.
+    /// Extends the lease after a successful renewal whose call was sent at `sent`. A
+    /// renewal that ends earlier than the current validity changes nothing.
     pub fn renewed(&mut self, sent: Instant, time_to_live: Duration) {
-        self.surely_until = self
-            .surely_until
-            .max(end_of(sent, time_to_live, self.settings));
+        self.valid_until = self
+            .valid_until
+            .max(certain_end(sent, time_to_live, self.settings));
     }
 
-    /// Whether the lease surely lasts at `now`.
-    pub fn surely_held(&self, now: Instant) -> bool {
-        now < self.surely_until
+    /// Returns whether the lease is certain to be valid at `now`.
+    pub fn is_valid(&self, now: Instant) -> bool {
+        now < self.valid_until
     }
 
-    /// Whether orders may be given at `now`.
+    /// Returns whether this node may give orders at `now`: the lease is valid and the
+    /// quiet period is over.
     pub fn may_order(&self, now: Instant) -> bool {
-        self.surely_held(now) && now >= self.quiet_from + self.settings.quiet
+        self.is_valid(now) && now >= self.quiet_from + self.settings.quiet
     }
 }
 
-fn end_of(sent: Instant, time_to_live: Duration, settings: LeaseSettings) -> Instant {
+fn certain_end(sent: Instant, time_to_live: Duration, settings: LeaseSettings) -> Instant {
     sent + time_to_live.saturating_sub(settings.margin)
 }
--- a/crates/loading/src/lib.rs
+++ b/crates/loading/src/lib.rs
@@ -1,18 +1,19 @@
-//! Decides which models and adapters are loaded on which runner, and keeps the
-//! right to order it. State machines without I/O and without a clock.
+//! Decides which models and adapters are loaded on which runner, and tracks the lease
+//! that allows a node to order it. Contains only state machines without I/O; callers pass
+//! in the current time.
 
 mod adapters;
-mod board;
-mod census;
 mod decisions;
 mod demand;
 mod lease;
+mod load_rate;
 mod memory;
 mod models;
-mod overtaxed;
-mod pace;
+mod over_limit;
+mod placement_index;
 mod planner;
-mod store_share;
+mod replica_counts;
+mod store_concurrency;
 mod summary;
 mod switches;
 mod value;
@@ -20,9 +21,9 @@
 
 pub use demand::{DemandBook, ModelDemand};
 pub use lease::{Lease, LeaseSettings};
+pub use load_rate::{LoadRateLimiter, PaceLimits};
 pub use memory::{free_mb, used_mb};
-pub use pace::{LoadPace, PaceLimits};
 pub use planner::{PlannedOrder, Planner, PlannerSettings};
 pub use summary::{MostWanted, StepSummary};
 pub use switches::{Mechanism, Switches, UnknownMechanism};
-pub use view::{RunnerView, Source};
+pub use view::{RunnerView, WeightSource};
--- a/crates/loading/src/memory.rs
+++ b/crates/loading/src/memory.rs
@@ -1,16 +1,16 @@
-//! The ledger of a runner's accelerator memory.
+//! Accounting of a runner's accelerator memory.
 //!
-//! What a runner's report names is counted until a later report no longer
-//! names it, so an unload frees nothing before the runner confirms it.
+//! Everything that a runner's report lists is counted until a later report omits it, so
+//! an unload frees no memory before the runner confirms it.
 
 use barleyspar_catalog::{EngineSpec, OrderAction};
 
 use crate::view::RunnerView;
 
-/// Part of the memory left free, for rounding.
-const SPARE_MB: f64 = 1.0;
+/// Megabytes left free to absorb rounding errors.
+const RESERVED_MB: f64 = 1.0;
 
-/// Megabytes that weights and adapters take or are about to take.
+/// Returns the megabytes taken by weights and adapters that are loaded or being loaded.
 pub fn used_mb(runner: &RunnerView, engine: &EngineSpec) -> f64 {
     let weights = |name: &str| engine.models.get(name).map_or(0.0, |spec| spec.weights_mb);
     let adapter = |name: &str| engine.models.get(name).map_or(0.0, |spec| spec.adapter_mb);
@@ -25,19 +25,21 @@
         .map(|(model, _)| adapter(model))
         .sum();
     let ordered = match &runner.ordered {
-        Some(OrderAction::LoadModel { model }) if runner.held(model).is_none() => weights(model),
+        Some(OrderAction::LoadModel { model }) if runner.loaded_model(model).is_none() => {
+            weights(model)
+        }
         _ => 0.0,
     };
     held + pending + ordered
 }
 
-/// Megabytes that are free.
+/// Returns the megabytes that a new load may take.
 pub fn free_mb(runner: &RunnerView, engine: &EngineSpec) -> f64 {
-    engine.memory_mb - used_mb(runner, engine) - SPARE_MB
+    engine.memory_mb - used_mb(runner, engine) - RESERVED_MB
 }
 
-/// Adapters held or on their way.
-pub fn adapters(runner: &RunnerView) -> usize {
+/// Returns the number of adapters that are loaded or being loaded.
+pub fn adapter_count(runner: &RunnerView) -> usize {
     let held: usize = runner.models.iter().map(|held| held.adapters.len()).sum();
     held + runner.pending_adapters.len()
 }
--- a/crates/loading/src/models.rs
+++ b/crates/loading/src/models.rs
@@ -1,5 +1,5 @@
-//! Which models are loaded on which runner: what a replica is worth against
-//! what its place costs.
+//! Decides which models are loaded on which runner, by weighing the value of a replica
+//! against the cost of its placement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,178 +7,202 @@
 
 use barleyspar_catalog::EngineSpec;
 
-use crate::census::Census;
-use crate::decisions::Decided;
+use crate::decisions::ReplicaDecision;
 use crate::demand::ModelDemand;
+use crate::replica_counts::ReplicaCounts;
 use crate::switches::{Mechanism, Switches};
-use crate::value::{ReplicaValue, rank_weight};
-use crate::view::{RunnerView, Source};
+use crate::value::{ReplicaValue, priority_weight};
+use crate::view::{RunnerView, WeightSource};
 
-/// Seconds for which a runner is thought busy if nothing is known of its order.
-const UNKNOWN_BUSY_TIME: f64 = 1.0;
-/// Seconds until the report of a runner is known that was never asked for it: a new
+/// Assumed time in seconds until a busy runner is free, if the end of its order is
+/// unknown.
+const UNKNOWN_BUSY_SECONDS: f64 = 1.0;
+/// Time in seconds to read the report of a runner that has not been asked yet: a new
 /// connection and its answer.
-const READING_TIME: f64 = 0.02;
-/// Shortest time in seconds for which a runner is thought busy that is so: until
-/// the next step.
-const SHORTEST_BUSY_TIME: f64 = 0.1;
-/// Longest time that an unload is thought to wait for its model's requests.
-const LONGEST_DRAIN: f64 = 4.0;
+const REPORT_READ_SECONDS: f64 = 0.02;
+/// Minimum time in seconds until a busy runner is assumed to be free: the interval to the
+/// next planning step.
+const MINIMUM_BUSY_SECONDS: f64 = 0.1;
+/// Maximum time in seconds that an unload is assumed to wait for its model's requests.
+const MAXIMUM_DRAIN_SECONDS: f64 = 4.0;
 
-/// Requests a second at which a model is in use, also between two requests.
-const USED_RATE: f64 = 0.3;
+/// Requests per second above which a model counts as in use even between two requests.
+const IN_USE_RATE: f64 = 0.3;
 
-/// Replicas that may be loaded at once of a model that has none.
-const FIRST_REPLICAS: usize = 2;
+/// Replicas that may be loaded at once for a model that has none.
+const INITIAL_REPLICAS: usize = 2;
 
-/// What the planner knows of one service's models.
+/// Inputs for placing the models of one service in one planning step.
 pub struct ModelPlan<'a> {
-    /// The service.
+    /// Name of the service whose models are placed.
     pub service: &'a Arc<str>,
-    /// What its runners are like.
+    /// Accelerator memory, slots and model sizes of the service's runners.
     pub engine: &'a EngineSpec,
-    /// Demand by model.
+    /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that came while it had no replica.
-    pub starved: &'a BTreeMap<Arc<str>, f64>,
-    /// What the policy decided, by model.
-    pub decided: &'a BTreeMap<Arc<str>, Decided>,
-    /// Models of which adapters are in use.
-    pub adapted: &'a BTreeSet<Arc<str>>,
-    /// What is switched off.
+    /// Requests by model that arrived while it had no replica.
+    pub unserved: &'a BTreeMap<Arc<str>, f64>,
+    /// Replica counts and zones that the policy decided, by model.
+    pub decisions: &'a BTreeMap<Arc<str>, ReplicaDecision>,
+    /// Models that have adapters in use.
+    pub with_active_adapters: &'a BTreeSet<Arc<str>>,
+    /// Planner mechanisms that are switched off.
     pub switches: &'a Switches,
-    /// Now.
+    /// Time of the planning step.
     pub now: Instant,
 }
 
-/// A replica that may make way for another.
+/// A replica that may be evicted from a runner to free memory.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Victim {
-    /// Its model.
+pub struct EvictionCandidate {
+    /// Model of the replica.
     pub model: Arc<str>,
-    /// What its loss costs, in the planner's currency.
+    /// Value lost by the eviction, in weighted requests.
     pub loss: f64,
-    /// Seconds until its requests have ended.
+    /// Seconds until the model's requests in flight are expected to end.
     pub drain_seconds: f64,
-    /// Megabytes that its weights take.
+    /// Megabytes of accelerator memory that the eviction frees.
     pub weights_mb: f64,
 }
 
-/// A place for a replica.
+/// A runner that may get one more replica of a model, with the steps this takes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
-    /// Index of the runner.
+pub struct Placement {
+    /// Index of the runner in the planning step's list.
     pub runner: usize,
-    /// Replicas that have to make way.
-    pub victims: Vec<Arc<str>>,
-    /// Where the load takes the weights from.
-    pub source: Source,
-    /// What the replica adds, less what its victims cost, for each second that
-    /// it takes.
+    /// Models to unload from the runner first, in this order.
+    pub evictions: Vec<Arc<str>>,
+    /// Where the runner loads the weights from.
+    pub source: WeightSource,
+    /// Value gained by the replica, less the value lost by evictions and disturbed
+    /// streams, per second that the placement takes.
     pub score: f64,
 }
 
 impl ModelPlan<'_> {
-    /// Models that lack replicas.
-    pub fn lacking(&self, census: &Census) -> Vec<Arc<str>> {
+    /// Returns the models of the service that need one more replica.
+    pub fn models_lacking_replicas(&self, counts: &ReplicaCounts) -> Vec<Arc<str>> {
         self.demand
             .keys()
             .filter(|model| self.engine.models.contains_key(*model))
-            .filter(|model| self.lacks(census, model))
+            .filter(|model| self.lacks_replica(counts, model))
             .cloned()
             .collect()
     }
 
-    /// Whether one more replica of `model` is wanted and allowed.
-    pub fn lacks(&self, census: &Census, model: &str) -> bool {
-        let replicas = census.of(model);
-        // A burst of requests that the first replicas will clear calls for no
-        // more than twice as many.
-        let growth = 2 * replicas.held + FIRST_REPLICAS;
-        replicas.reachable < self.needed(model).min(growth) && replicas.all < self.allowed(model)
+    /// Returns whether `model` needs one more replica and the policy allows it.
+    pub fn lacks_replica(&self, counts: &ReplicaCounts, model: &str) -> bool {
+        let replicas = counts.for_model(model);
+        // Limits growth to double the loaded replicas, since a burst may be cleared by
+        // the first of them.
+        let growth = 2 * replicas.loaded + INITIAL_REPLICAS;
+        replicas.reachable < self.needed_replicas(model).min(growth)
+            && replicas.total < self.replica_limit(model)
     }
 
-    /// Replicas that a model should have now: what the policy decided, as long
-    /// as somebody uses it.
-    pub fn needed(&self, model: &str) -> usize {
-        let used = self
+    /// Returns the number of replicas that `model` should have now: the policy's target
+    /// while the model is in use, 0 otherwise.
+    pub fn needed_replicas(&self, model: &str) -> usize {
+        let in_use = self
             .demand
             .get(model)
-            .is_some_and(|demand| demand.is_active() || demand.rate > USED_RATE);
-        if !used {
+            .is_some_and(|demand| demand.is_active() || demand.rate > IN_USE_RATE);
+        if !in_use {
             return 0;
         }
-        self.decided.get(model).map_or(0, |decided| decided.wanted)
+        self.decisions
+            .get(model)
+            .map_or(0, |decision| decision.target)
     }
 
-    /// Replicas that a model may have at most, unreachable ones included.
-    fn allowed(&self, model: &str) -> usize {
-        self.decided.get(model).map_or(0, |decided| decided.most)
+    /// Returns the maximum number of replicas of `model`, unreachable ones included.
+    fn replica_limit(&self, model: &str) -> usize {
+        self.decisions
+            .get(model)
+            .map_or(0, |decision| decision.maximum)
     }
 
-    fn demand(&self, model: &str) -> ModelDemand {
+    fn demand_for(&self, model: &str) -> ModelDemand {
         self.demand.get(model).copied().unwrap_or_default()
     }
 
-    /// Weight of one request of this demand.
+    /// Returns the weight of one request by its priority, or the weight of the highest
+    /// priority if priorities are switched off.
     fn weight(&self, demand: &ModelDemand) -> f64 {
-        if self.switches.is_on(Mechanism::Ranks) {
-            rank_weight(demand.priority)
+        if self.switches.is_enabled(Mechanism::Ranks) {
+            priority_weight(demand.priority)
         } else {
-            rank_weight(0)
+            priority_weight(0)
         }
     }
 
-    /// What replicas of `model` are worth.
+    /// Returns the value function for replicas of `model` at its present demand.
     pub fn value(&self, model: &str) -> ReplicaValue {
-        let demand = self.demand(model);
-        let starved = self.starved.get(model).copied().unwrap_or(0.0);
+        let demand = self.demand_for(model);
+        let unserved = self.unserved.get(model).copied().unwrap_or(0.0);
         let weight = self.weight(&demand);
         let slots = self.engine.slots;
-        ReplicaValue::new(&demand, weight, starved, self.needed(model), slots)
+        ReplicaValue::new(
+            &demand,
+            weight,
+            unserved,
+            self.needed_replicas(model),
+            slots,
+        )
     }
 
-    /// Seconds until the runner is expected to take an order. One that is busy
-    /// longer than expected is thought to stay so for as long again: otherwise a
-    /// model with a copy there would be kept waiting for it without end.
-    pub fn busy_for(&self, runner: &RunnerView) -> f64 {
-        if runner.orderable() {
+    /// Returns the seconds until the runner is expected to accept an order. A runner that
+    /// is overdue is assumed to stay busy for as long again; otherwise a model with a
+    /// weight copy there would wait for it forever.
+    pub fn seconds_until_free(&self, runner: &RunnerView) -> f64 {
+        if runner.accepts_orders() {
             return 0.0;
         }
         if runner.unread {
-            return READING_TIME;
+            return REPORT_READ_SECONDS;
         }
-        runner.busy_until.map_or(UNKNOWN_BUSY_TIME, |until| {
-            let left = until.saturating_duration_since(self.now);
+        runner.busy_until.map_or(UNKNOWN_BUSY_SECONDS, |until| {
+            let remaining = until.saturating_duration_since(self.now);
             let overdue = self.now.saturating_duration_since(until);
-            left.max(overdue).as_secs_f64().max(SHORTEST_BUSY_TIME)
+            remaining
+                .max(overdue)
+                .as_secs_f64()
+                .max(MINIMUM_BUSY_SECONDS)
         })
     }
 
-    /// The runner's replicas that may make way, with what that costs and the
-    /// seconds that their requests take to end; the cheapest first.
-    pub fn victims(&self, census: &Census, runner: &RunnerView) -> Vec<Victim> {
-        let mut victims: Vec<Victim> = runner
+    /// Returns the replicas that may be evicted from `runner`, cheapest first by lost
+    /// value plus drain time.
+    pub fn eviction_candidates(
+        &self,
+        counts: &ReplicaCounts,
+        runner: &RunnerView,
+    ) -> Vec<EvictionCandidate> {
+        let mut candidates: Vec<EvictionCandidate> = runner
             .models
             .iter()
-            .filter_map(|held| self.victim(census, &held.model))
+            .filter_map(|loaded| self.eviction_candidate(counts, &loaded.model))
             .collect();
-        let key = |victim: &Victim| victim.loss + victim.drain_seconds;
-        victims.sort_by(|a, b| {
+        let key = |candidate: &EvictionCandidate| candidate.loss + candidate.drain_seconds;
+        candidates.sort_by(|a, b| {
             key(a)
                 .total_cmp(&key(b))
                 .then_with(|| a.model.cmp(&b.model))
         });
-        victims
+        candidates
     }
 
-    fn victim(&self, census: &Census, model: &Arc<str>) -> Option<Victim> {
-        let demand = self.demand(model);
-        let replicas = census.of(model).reachable;
+    fn eviction_candidate(
+        &self,
+        counts: &ReplicaCounts,
+        model: &Arc<str>,
+    ) -> Option<EvictionCandidate> {
+        let demand = self.demand_for(model);
+        let replicas = counts.for_model(model).reachable;
         if replicas <= 1 && demand.is_active() {
             return None;
         }
-        Some(Victim {
+        Some(EvictionCandidate {
             model: model.clone(),
             loss: self.value(model).loss(replicas),
             drain_seconds: drain_seconds(&demand),
@@ -190,27 +214,27 @@
         })
     }
 
-    /// The requests that a load disturbs at `runner`: weighted streams that are
-    /// there now, and those that come there a second.
-    pub fn streams_at(&self, census: &Census, runner: &RunnerView) -> (f64, f64) {
+    /// Returns the load of streams that a model load would disturb at `runner`: the
+    /// weighted number in flight, and the weighted number that start per second.
+    pub fn stream_load(&self, counts: &ReplicaCounts, runner: &RunnerView) -> (f64, f64) {
         let mut present = 0.0;
-        let mut coming = 0.0;
-        for held in &runner.models {
-            let demand = self.demand(&held.model);
-            let replicas = census.of(&held.model).reachable.max(1) as f64;
+        let mut starting_per_second = 0.0;
+        for loaded in &runner.models {
+            let demand = self.demand_for(&loaded.model);
+            let replicas = counts.for_model(&loaded.model).reachable.max(1) as f64;
             let weight = self.weight(&demand) / replicas;
             present += weight * f64::from(demand.in_flight);
-            coming += weight * demand.rate;
+            starting_per_second += weight * demand.rate;
         }
-        (present, coming)
+        (present, starting_per_second)
     }
 }
 
-/// Seconds until the requests now in flight for a model have ended: by Little's
-/// law, what is in flight over what comes.
+/// Estimates the seconds until the requests in flight for a model have ended, by Little's
+/// law: requests in flight divided by the request rate.
 fn drain_seconds(demand: &ModelDemand) -> f64 {
     if demand.in_flight == 0 {
         return 0.0;
     }
-    (f64::from(demand.in_flight) / demand.rate.max(f64::EPSILON)).min(LONGEST_DRAIN)
+    (f64::from(demand.in_flight) / demand.rate.max(f64::EPSILON)).min(MAXIMUM_DRAIN_SECONDS)
 }
--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: from demand, policy and the runners' reports to orders.
+//! Turns demand, policy and the runners' reports into orders.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
@@ -8,122 +8,127 @@
 use barleyspar_policy::Program;
 
 use crate::adapters::AdapterPlan;
-use crate::board::Board;
-use crate::decisions::{Decisions, Question};
+use crate::decisions::{PolicyDecisions, PolicyQuery};
 use crate::demand::{DemandBook, ModelDemand};
-use crate::models::{ModelPlan, Place};
-use crate::overtaxed::mark_overtaxed;
-use crate::pace::{LoadPace, PaceLimits};
-use crate::store_share::StoreShare;
+use crate::load_rate::{LoadRateLimiter, PaceLimits};
+use crate::models::{ModelPlan, Placement};
+use crate::over_limit::mark_over_limit;
+use crate::placement_index::PlacementIndex;
+use crate::store_concurrency::StoreConcurrency;
 use crate::summary::{StepSummary, summarize};
 use crate::switches::{Mechanism, Switches};
-use crate::view::{RunnerView, Source};
+use crate::view::{RunnerView, WeightSource};
 
-/// Requests a second at which an adapter is in use.
-const ADAPTER_RATE: f64 = 0.02;
+/// Requests per second above which an adapter counts as in use.
+const ADAPTER_IN_USE_RATE: f64 = 0.02;
 
-/// Requests by which one that waits counts more for each second of waiting.
-const AGING: f64 = 1.0;
+/// Weight that a waiting request adds per second to the unserved requests of its model.
+const WAITING_WEIGHT_PER_SECOND: f64 = 1.0;
 
-/// What the planner is told once.
+/// Configuration of a planner, fixed when it is created.
 #[derive(Debug)]
 pub struct PlannerSettings {
-    /// The operators' policy: how many replicas a model may have.
+    /// The operators' policy, which decides the number and zones of replicas for each
+    /// model.
     pub policy: Program,
-    /// How many loads from the weight store may begin.
+    /// Limits on loads from the weight store.
     pub pace: PaceLimits,
-    /// What is switched off.
+    /// Planner mechanisms that are switched off for comparison runs.
     pub switches: Switches,
 }
 
-/// An order to be given.
+/// An order that the leader should send to a runner now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedOrder {
-    /// The runner.
+    /// Id of the runner that gets the order.
     pub runner: Arc<str>,
-    /// What it is to do.
+    /// Load or unload to be carried out by the runner.
     pub action: OrderAction,
-    /// Where a load takes the weights from.
-    pub source: Source,
-    /// The model for which it is done.
+    /// Where a load reads the weights from; for the log only.
+    pub source: WeightSource,
+    /// Model that needs the order: an unload may make room for another model.
     pub wanted_by: Arc<str>,
 }
 
-/// What the planner remembers of one service.
+/// State of one service that is kept between planning steps.
 #[derive(Debug)]
 struct ServiceState {
-    pace: LoadPace,
-    share: StoreShare,
-    /// Requests that came for models while they had no replica.
-    starved: BTreeMap<Arc<str>, f64>,
+    load_rate: LoadRateLimiter,
+    store_loads: StoreConcurrency,
+    /// Requests that arrived for models while they had no replica, by model.
+    unserved: BTreeMap<Arc<str>, f64>,
 }
 
-/// Decides orders. One per holder of the right to order.
+/// Decides which orders the leader gives. Each node that can become the leader has one.
 #[derive(Debug)]
 pub struct Planner {
     settings: PlannerSettings,
     services: BTreeMap<Arc<str>, ServiceState>,
-    /// By runner, the sequence number at which a load was counted last: of all
-    /// orders with one number, the runner carries out one.
-    counted: BTreeMap<Arc<str>, u64>,
-    decisions: Decisions,
+    /// Sequence number of each runner at its last load counted against the store's rate.
+    /// A runner carries out at most one of all orders with the same number.
+    counted_sequences: BTreeMap<Arc<str>, u64>,
+    decisions: PolicyDecisions,
     started: Instant,
     planned_at: Instant,
     summaries: Vec<StepSummary>,
-    /// Runners whose reports the last step lacked.
-    looks: Vec<Arc<str>>,
+    /// Runners whose unread reports kept the latest step from ordering them.
+    reports_needed: Vec<Arc<str>>,
 }
 
 impl Planner {
-    /// A planner of a node that may order from `now` on.
+    /// Creates the planner of a node that may give orders from `now` on.
     pub fn new(settings: PlannerSettings, now: Instant) -> Self {
         Self {
             settings,
             services: BTreeMap::new(),
-            counted: BTreeMap::new(),
-            decisions: Decisions::default(),
+            counted_sequences: BTreeMap::new(),
+            decisions: PolicyDecisions::default(),
             started: now,
             planned_at: now,
             summaries: Vec::new(),
-            looks: Vec::new(),
+            reports_needed: Vec::new(),
         }
     }
 
-    /// What the last step saw of each service.
+    /// Returns one summary for each service with an engine, from the latest planning
+    /// step.
     pub fn summaries(&self) -> &[StepSummary] {
         &self.summaries
     }
 
-    /// Runners whose reports have to be read before they can be ordered.
+    /// Returns the runners whose reports must be read before the orders planned for them
+    /// can be given.
     pub fn looks(&self) -> &[Arc<str>] {
-        &self.looks
+        &self.reports_needed
     }
 
-    fn look_if_unread(&mut self, runner: &RunnerView) {
+    fn request_report_if_unread(&mut self, runner: &RunnerView) {
         if runner.unread {
-            self.looks.push(runner.id.clone());
+            self.reports_needed.push(runner.id.clone());
         }
     }
 
-    /// Forgets its pace: another node may have ordered until `now`.
+    /// Resets all state that depends on the orders given: another node may have given
+    /// orders until `now`. Called when this node gains or loses the leader's lease.
     pub fn restart(&mut self, now: Instant) {
         self.services.clear();
-        self.counted.clear();
+        self.counted_sequences.clear();
         self.started = now;
         self.planned_at = now;
     }
 
-    /// Orders to be given now, at most one for each runner.
+    /// Plans one step. Returns the orders to give now, at most one for each runner, and
+    /// sets `ordered` of their runners in `runners`.
     pub fn plan(
         &mut self,
         configuration: &Configuration,
         runners: &mut [RunnerView],
-        book: &mut DemandBook,
+        cluster_demand: &mut DemandBook,
         now: Instant,
     ) -> Vec<PlannedOrder> {
-        let totals = book.totals(now);
+        let totals = cluster_demand.totals(now);
         self.summaries.clear();
-        self.looks.clear();
+        self.reports_needed.clear();
         let mut orders = Vec::new();
         for service in configuration.services.values() {
             let Some(engine) = &service.engine else {
@@ -131,9 +136,9 @@
             };
             let mut models = BTreeMap::new();
             let mut adapters = BTreeMap::new();
-            for ((of, model, adapter), demand) in &totals {
+            for ((demand_service, model, adapter), demand) in &totals {
                 match adapter {
-                    _ if *of != service.name => {}
+                    _ if *demand_service != service.name => {}
                     None => {
                         models.insert(model.clone(), *demand);
                     }
@@ -142,41 +147,41 @@
                     }
                 }
             }
-            let adapted: BTreeSet<Arc<str>> = adapters
+            let with_active_adapters: BTreeSet<Arc<str>> = adapters
                 .iter()
-                .filter(|(_, demand)| demand.is_active() || demand.rate > ADAPTER_RATE)
+                .filter(|(_, demand)| demand.is_active() || demand.rate > ADAPTER_IN_USE_RATE)
                 .map(|((model, _), _)| model.clone())
                 .collect();
-            // Adapters first: they take milliseconds, and wait for seconds once
-            // their runner loads a model.
+            // Adapters are planned first: they load in milliseconds, but would wait for
+            // seconds behind a model load at the same runner.
             let plan = AdapterPlan {
                 service: &service.name,
                 engine,
                 demand: &adapters,
-                book,
+                cluster_demand,
                 now,
             };
             self.plan_adapters(&plan, runners, &mut orders);
             let mut state = self.service_state(&service.name);
-            state.share.set_longest_load(longest_load(engine));
-            follow_loads(&mut state.share, runners, now);
-            mark_overtaxed(&service.name, &models, runners);
-            self.count_starved(&service.name, &mut state, &models, runners, now);
-            let question = Question {
+            state.store_loads.set_longest_load(longest_load(engine));
+            update_store_loads(&mut state.store_loads, runners, now);
+            mark_over_limit(&service.name, &models, runners);
+            self.count_unserved(&service.name, &mut state, &models, runners, now);
+            let query = PolicyQuery {
                 service: &service.name,
                 engine,
                 demand: &models,
-                starved: &state.starved,
+                unserved: &state.unserved,
                 runners,
             };
-            let decided = self.decisions.decide(&self.settings.policy, &question);
+            let decisions = self.decisions.decide(&self.settings.policy, &query);
             let plan = ModelPlan {
                 service: &service.name,
                 engine,
                 demand: &models,
-                starved: &state.starved.clone(),
-                decided: &decided,
-                adapted: &adapted,
+                unserved: &state.unserved.clone(),
+                decisions: &decisions,
+                with_active_adapters: &with_active_adapters,
                 switches: &self.settings.switches.clone(),
                 now,
             };
@@ -193,14 +198,15 @@
         self.services
             .remove(service)
             .unwrap_or_else(|| ServiceState {
-                pace: LoadPace::new(limits, started),
-                share: StoreShare::new(started),
-                starved: BTreeMap::new(),
+                load_rate: LoadRateLimiter::new(limits, started),
+                store_loads: StoreConcurrency::new(started),
+                unserved: BTreeMap::new(),
             })
     }
 
-    /// Counts requests for models that have no replica.
-    fn count_starved(
+    /// Adds the requests since the last step to the count of each model that has no
+    /// reachable replica, and drops the counts of the others.
+    fn count_unserved(
         &self,
         service: &Arc<str>,
         state: &mut ServiceState,
@@ -208,22 +214,25 @@
         runners: &[RunnerView],
         now: Instant,
     ) {
-        let passed = now.saturating_duration_since(self.planned_at);
+        let elapsed = now.saturating_duration_since(self.planned_at);
         let held: HashSet<&str> = runners
             .iter()
-            .filter(|runner| runner.service == *service && runner.takes_work() && runner.reachable)
+            .filter(|runner| {
+                runner.service == *service && runner.accepts_requests() && runner.reachable
+            })
             .flat_map(|runner| &runner.models)
-            .map(|held| &*held.model)
+            .map(|loaded| &*loaded.model)
             .collect();
-        let is_there = |model: &str| held.contains(model);
-        let counts = self.settings.switches.is_on(Mechanism::Starvation);
-        state.starved.retain(|model, _| !is_there(model));
+        let has_replica = |model: &str| held.contains(model);
+        let enabled = self.settings.switches.is_enabled(Mechanism::Starvation);
+        state.unserved.retain(|model, _| !has_replica(model));
         for (model, demand) in demand {
-            let wanted = demand.rate > 0.0 || demand.waiting > 0;
-            if counts && wanted && !is_there(model) {
-                let starved = state.starved.entry(model.clone()).or_default();
-                let a_second = demand.rate + AGING * f64::from(demand.waiting);
-                *starved += a_second * passed.as_secs_f64();
+            let has_demand = demand.rate > 0.0 || demand.waiting > 0;
+            if enabled && has_demand && !has_replica(model) {
+                let unserved = state.unserved.entry(model.clone()).or_default();
+                let per_second =
+                    demand.rate + WAITING_WEIGHT_PER_SECOND * f64::from(demand.waiting);
+                *unserved += per_second * elapsed.as_secs_f64();
             }
         }
     }
@@ -234,27 +243,27 @@
         runners: &mut [RunnerView],
         orders: &mut Vec<PlannedOrder>,
     ) {
-        for (model, adapter) in plan.wanted(runners) {
-            let Some((index, action)) = plan.step(runners, &model, &adapter) else {
+        for (model, adapter) in plan.missing_adapters(runners) {
+            let Some((index, action)) = plan.next_order(runners, &model, &adapter) else {
                 continue;
             };
             let runner = &mut runners[index];
-            if !runner.orderable() {
-                self.look_if_unread(runner);
+            if !runner.accepts_orders() {
+                self.request_report_if_unread(runner);
                 continue;
             }
             runner.ordered = Some(action.clone());
             orders.push(PlannedOrder {
                 runner: runner.id.clone(),
                 action,
-                source: Source::Memory,
+                source: WeightSource::Memory,
                 wanted_by: model,
             });
         }
     }
 
-    /// Chooses places for models that lack replicas, the best first, and orders
-    /// the first step towards each.
+    /// Chooses placements for models that need replicas, best score first, and orders the
+    /// first step of each.
     fn plan_models(
         &mut self,
         plan: &ModelPlan<'_>,
@@ -262,131 +271,149 @@
         runners: &mut [RunnerView],
         orders: &mut Vec<PlannedOrder>,
     ) -> StepSummary {
-        let mut board = Board::new(plan, runners);
+        let mut placements = PlacementIndex::new(plan, runners);
         let rate = plan.engine.loads_per_second;
-        let ready = state.pace.tokens_at(plan.now, rate);
-        let mut summary = summarize(plan, &state.share, ready, board.census());
-        let before = orders.len();
-        // Loads from the store for which room is being made; they begin soon.
+        let ready = state.load_rate.available(plan.now, rate);
+        let mut summary = summarize(plan, &state.store_loads, ready, placements.counts());
+        let orders_before = orders.len();
+        // Number of loads from the store that start soon, after the unloads ordered in
+        // this step.
         let mut making_room = 0;
-        let mut lacking: Vec<(Place, Arc<str>)> = plan
-            .lacking(board.census())
+        let mut candidates: Vec<(Placement, Arc<str>)> = plan
+            .models_lacking_replicas(placements.counts())
             .into_iter()
             .filter_map(|model| {
-                let remote = may_load(plan, state, making_room);
-                let place = board.best_place(runners, &model, remote)?;
-                Some((place, model))
+                let remote = may_load_from_store(plan, state, making_room);
+                let placement = placements.best_placement(runners, &model, remote)?;
+                Some((placement, model))
             })
             .collect();
-        while let Some((place, model)) = take_best(&mut lacking) {
-            // What was done meanwhile may have changed its place and its worth.
-            let remote = may_load(plan, state, making_room);
-            let Some(now) = board.best_place(runners, &model, remote) else {
+        while let Some((placement, model)) = pop_best(&mut candidates) {
+            // Orders given earlier in this step may have changed the model's best
+            // placement and its score.
+            let remote = may_load_from_store(plan, state, making_room);
+            let Some(current) = placements.best_placement(runners, &model, remote) else {
                 continue;
             };
-            if now.score < place.score {
-                lacking.push((now, model));
+            if current.score < placement.score {
+                candidates.push((current, model));
                 continue;
             }
-            if !runners[now.runner].orderable() {
-                self.look_if_unread(&runners[now.runner]);
+            if !runners[current.runner].accepts_orders() {
+                self.request_report_if_unread(&runners[current.runner]);
                 continue;
             }
-            let Some(action) = self.step(plan, state, (&runners[now.runner], &model), &now) else {
+            let Some(action) =
+                self.next_order(plan, state, (&runners[current.runner], &model), &current)
+            else {
                 continue;
             };
-            let victim = now.victims.first();
-            making_room += usize::from(victim.is_some() && now.source == Source::Remote);
-            board.order(runners, now.runner, &model, victim);
-            let runner = &mut runners[now.runner];
+            let evicted = current.evictions.first();
+            making_room += usize::from(evicted.is_some() && current.source == WeightSource::Remote);
+            placements.apply_order(runners, current.runner, &model, evicted);
+            let runner = &mut runners[current.runner];
             runner.ordered = Some(action.clone());
             runner.busy_until = None;
             orders.push(PlannedOrder {
                 runner: runner.id.clone(),
-                source: now.source,
+                source: current.source,
                 wanted_by: model.clone(),
                 action,
             });
-            let remote = may_load(plan, state, making_room);
-            if plan.lacks(board.census(), &model)
-                && let Some(next) = board.best_place(runners, &model, remote)
+            let remote = may_load_from_store(plan, state, making_room);
+            if plan.lacks_replica(placements.counts(), &model)
+                && let Some(next) = placements.best_placement(runners, &model, remote)
             {
-                lacking.push((next, model));
+                candidates.push((next, model));
             }
         }
-        summary.orders = orders.len() - before;
+        summary.orders = orders.len() - orders_before;
         summary
     }
 
-    /// The next order towards `model` at its place: to make room, or to load.
-    fn step(
+    /// Returns the next order towards `model` at its placement: the unload of an evicted
+    /// model, or the load. `None` if the rate of the weight store allows no load.
+    fn next_order(
         &mut self,
         plan: &ModelPlan<'_>,
         state: &mut ServiceState,
         (runner, model): (&RunnerView, &Arc<str>),
-        place: &Place,
+        placement: &Placement,
     ) -> Option<OrderAction> {
-        if let Some(victim) = place.victims.first() {
-            let model = victim.clone();
+        if let Some(evicted) = placement.evictions.first() {
+            let model = evicted.clone();
             return Some(OrderAction::UnloadModel { model });
         }
-        if place.source == Source::Remote {
-            if !self.take_pace(plan, state, runner) {
+        if placement.source == WeightSource::Remote {
+            if !self.consume_load_rate(plan, state, runner) {
                 return None;
             }
-            let alone = plan.engine.models.get(model)?.remote_load;
+            let time_alone = plan.engine.models.get(model)?.remote_load;
             let runner = runner.id.clone();
-            state.share.begin(runner, model.clone(), alone, plan.now);
+            state
+                .store_loads
+                .start_load(runner, model.clone(), time_alone, plan.now);
         }
         let model = model.clone();
         Some(OrderAction::LoadModel { model })
     }
 
-    /// Counts a load from the weight store, if one may begin.
-    fn take_pace(
+    /// Counts a load from the weight store against its rate. Returns false if none may
+    /// start now. A repeated order with the same sequence number is counted once.
+    fn consume_load_rate(
         &mut self,
         plan: &ModelPlan<'_>,
         state: &mut ServiceState,
         runner: &RunnerView,
     ) -> bool {
-        if self.counted.get(&runner.id) == Some(&runner.sequence) {
+        if self.counted_sequences.get(&runner.id) == Some(&runner.sequence) {
             return true;
         }
-        if state.pace.ready(plan.now, plan.engine.loads_per_second) < 1.0 {
+        if state
+            .load_rate
+            .refill(plan.now, plan.engine.loads_per_second)
+            < 1.0
+        {
             return false;
         }
-        state.pace.take();
-        self.counted.insert(runner.id.clone(), runner.sequence);
+        state.load_rate.consume();
+        self.counted_sequences
+            .insert(runner.id.clone(), runner.sequence);
         true
     }
 }
 
-/// What a load from the weight store takes by itself at most.
+/// Returns the longest time that any model takes to load from the weight store without
+/// concurrent loads.
 fn longest_load(engine: &EngineSpec) -> Duration {
     let loads = engine.models.values().map(|model| model.remote_load);
     loads.max().unwrap_or_default()
 }
 
-/// Takes in which loads from the weight store have ended.
-fn follow_loads(share: &mut StoreShare, runners: &[RunnerView], now: Instant) {
+/// Updates `store_loads` with the loads that have ended, from the models that runners now
+/// hold.
+fn update_store_loads(store_loads: &mut StoreConcurrency, runners: &[RunnerView], now: Instant) {
     let is_held = |id: &str, model: &str| {
         let runner = runners.iter().find(|runner| &*runner.id == id)?;
-        runner.open.then(|| runner.held(model).is_some())
+        runner.open.then(|| runner.loaded_model(model).is_some())
     };
-    share.update(is_held, now);
+    store_loads.update(is_held, now);
 }
 
-/// Whether a load from the store may begin beside `making_room` that will.
-fn may_load(plan: &ModelPlan<'_>, state: &mut ServiceState, making_room: usize) -> bool {
-    let ready = state.pace.ready(plan.now, plan.engine.loads_per_second);
-    let shared = plan.switches.is_on(Mechanism::StoreShare);
-    ready - making_room as f64 >= 1.0 && (!shared || state.share.has_room(making_room))
+/// Returns whether another load from the weight store may start, on top of the
+/// `making_room` loads that will start after their unloads.
+fn may_load_from_store(plan: &ModelPlan<'_>, state: &mut ServiceState, making_room: usize) -> bool {
+    let ready = state
+        .load_rate
+        .refill(plan.now, plan.engine.loads_per_second);
+    let limited = plan.switches.is_enabled(Mechanism::StoreShare);
+    ready - making_room as f64 >= 1.0 && (!limited || state.store_loads.allows_load(making_room))
 }
 
-fn take_best(lacking: &mut Vec<(Place, Arc<str>)>) -> Option<(Place, Arc<str>)> {
-    let best = (0..lacking.len()).max_by(|a, b| {
-        let (a, b) = (&lacking[*a], &lacking[*b]);
+fn pop_best(candidates: &mut Vec<(Placement, Arc<str>)>) -> Option<(Placement, Arc<str>)> {
+    let best = (0..candidates.len()).max_by(|a, b| {
+        let (a, b) = (&candidates[*a], &candidates[*b]);
         a.0.score.total_cmp(&b.0.score).then_with(|| b.1.cmp(&a.1))
     })?;
-    Some(lacking.swap_remove(best))
+    Some(candidates.swap_remove(best))
 }
--- a/crates/loading/src/summary.rs
+++ b/crates/loading/src/summary.rs
@@ -1,67 +1,68 @@
-//! What a step of the planner saw, for the log: why a model that lacks replicas
+//! Summary of a planning step for the log, which shows why a model that needs replicas
 //! gets none.
 
 use std::sync::Arc;
 
-use crate::census::Census;
 use crate::models::ModelPlan;
-use crate::store_share::StoreShare;
+use crate::replica_counts::ReplicaCounts;
+use crate::store_concurrency::StoreConcurrency;
 
-/// What the last step saw of one service, for the log.
+/// State of one service before the latest planning step, and the number of orders it
+/// gave.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StepSummary {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Models that lacked replicas.
+    /// Number of models that needed one more replica.
     pub lacking: usize,
-    /// Orders given.
+    /// Number of orders for models that the step gave; adapter orders are not counted.
     pub orders: usize,
-    /// Loads from the weight store under way, as far as is known.
+    /// Loads from the weight store believed to be in progress.
     pub store_loads: usize,
-    /// Loads from it that are thought to run at full speed at once.
+    /// Estimated number of concurrent loads that the weight store serves at full speed.
     pub store_bound: f64,
-    /// Loads that the store's rate allows to begin.
+    /// Number of loads that the rate limit of the weight store allowed to start.
     pub store_ready: f64,
-    /// The model that most requests wait for.
+    /// The model with the most waiting requests; `None` without demand.
     pub most_wanted: Option<MostWanted>,
 }
 
-/// The model that most requests wait for.
+/// Demand and replicas of the model with the most waiting requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MostWanted {
-    /// The model.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// Requests that wait.
+    /// Requests on all nodes that wait for the model, or whose callers were told to retry later.
     pub waiting: u32,
-    /// Requests in flight.
+    /// Requests for the model that runners are processing.
     pub in_flight: u32,
-    /// Replicas on runners that answer, those on their way included.
+    /// Replicas on runners that answer, including those being loaded.
     pub replicas: usize,
-    /// Replicas that it should have now.
+    /// Number of replicas that the model should have by policy and demand.
     pub needed: usize,
 }
 
-/// What a step sees before it gives orders.
+/// Creates the summary of a step before it gives orders; `orders` is 0.
 pub fn summarize(
     plan: &ModelPlan<'_>,
-    share: &StoreShare,
+    store: &StoreConcurrency,
     store_ready: f64,
-    census: &Census,
+    counts: &ReplicaCounts,
 ) -> StepSummary {
-    let most = plan.demand.iter().max_by_key(|(_, demand)| demand.waiting);
-    let most_wanted = most.map(|(model, demand)| MostWanted {
+    let most_waiting = plan.demand.iter().max_by_key(|(_, demand)| demand.waiting);
+    let most_wanted = most_waiting.map(|(model, demand)| MostWanted {
         model: model.clone(),
         waiting: demand.waiting,
         in_flight: demand.in_flight,
-        replicas: census.of(model).reachable,
-        needed: plan.needed(model),
+        replicas: counts.for_model(model).reachable,
+        needed: plan.needed_replicas(model),
     });
     StepSummary {
         service: plan.service.clone(),
-        lacking: plan.lacking(census).len(),
+        lacking: plan.models_lacking_replicas(counts).len(),
         orders: 0,
-        store_loads: share.under_way(),
-        store_bound: share.bound(),
+        store_loads: store.loads_in_progress(),
+        store_bound: store.concurrency_limit(),
         store_ready,
         most_wanted,
     }
--- a/crates/loading/src/switches.rs
+++ b/crates/loading/src/switches.rs
@@ -1,22 +1,24 @@
-//! Parts of the planner that can be switched off, to measure what they are worth.
+//! Planner mechanisms that can be switched off to measure their benefit.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// A part of the planner that can be switched off.
+/// A mechanism of the planner that can be switched off. Variants are named like their
+/// settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// More urgent requests weigh more.
+    /// Requests of higher priority have more weight.
     Ranks,
-    /// A model gains weight while nobody is served of it.
+    /// Requests that arrive while a model has no replica add to the value of loading it.
     Starvation,
-    /// A load costs the streams beside it.
+    /// Streams at a runner that a load slows down count as a cost of the load.
     Disturbance,
-    /// A busy runner that has a copy of the weights is waited for.
+    /// A busy runner with a local weight copy is considered for a placement, so that a
+    /// model may wait for it.
     NearCopies,
-    /// Loads from the weight store at once are bounded by how slow they get.
+    /// Concurrent loads from the weight store are limited by the slowdown observed.
     StoreShare,
 }
 
@@ -28,9 +30,9 @@
     (Mechanism::StoreShare, "store-share"),
 ];
 
-/// A name that stands for no mechanism.
+/// Error for a mechanism name that does not exist; lists the known names.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("there is no mechanism {name:?}; there are {known}")]
+#[error("unknown mechanism {name:?}; known mechanisms are {known}")]
 pub struct UnknownMechanism {
     name: String,
     known: String,
@@ -40,8 +42,8 @@
     type Err = UnknownMechanism;
 
     fn from_str(name: &str) -> Result<Self, UnknownMechanism> {
-        let found = NAMES.iter().find(|(_, known)| *known == name);
-        found
+        let entry = NAMES.iter().find(|(_, known)| *known == name);
+        entry
             .map(|(mechanism, _)| *mechanism)
             .ok_or_else(|| UnknownMechanism {
                 name: name.to_owned(),
@@ -50,20 +52,20 @@
     }
 }
 
-/// Which mechanisms are switched off; none usually.
+/// The set of mechanisms that are switched off; empty by default.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Switches {
     off: BTreeSet<Mechanism>,
 }
 
 impl Switches {
-    /// Whether `mechanism` is in use.
-    pub fn is_on(&self, mechanism: Mechanism) -> bool {
+    /// Returns whether `mechanism` is in use.
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 }
 
-/// Reads names of mechanisms to switch off, separated by commas.
+/// Parses a comma-separated list of mechanisms to switch off; empty names are ignored.
 impl FromStr for Switches {
     type Err = UnknownMechanism;
 
--- a/crates/loading/src/value.rs
+++ b/crates/loading/src/value.rs
@@ -1,72 +1,80 @@
-//! What replicas of a model are worth, in one currency: weighted requests that
-//! they serve, or serve sooner, while the present demand is thought to last.
+//! Computes the value of replicas of a model, in weighted requests that they serve, or
+//! serve sooner, within `HORIZON_SECONDS` of the present demand.
 
 use crate::demand::ModelDemand;
 
-/// Seconds for which the present demand is thought to last.
-const HORIZON: f64 = 5.0;
-/// How much more a request counts than one of the next less urgent rank.
-const RANK_RATIO: f64 = 1.5;
-/// Part that replicas beyond those needed are worth.
-const SPARE_PART: f64 = 0.1;
-/// Part of a runner's slots that one model's requests may take before they wait
-/// for each other: what nodes know of each other's requests is up to 0.75 s old,
-/// so a runner is never filled to its last slot without some being turned away.
-const USABLE_PART: f64 = 0.8;
+/// Time in seconds for which the present demand is assumed to last.
+const HORIZON_SECONDS: f64 = 5.0;
+/// Ratio between the weight of a request and that of one with the next lower priority.
+const PRIORITY_RATIO: f64 = 1.5;
+/// Fraction of their value that replicas beyond the needed number keep.
+const SURPLUS_FRACTION: f64 = 0.1;
+/// Fraction of a runner's slots that the requests of one model may fill before they wait
+/// for each other. A node's view of other nodes' requests is up to 0.75 s stale, so
+/// filling a runner to its last slot would cause rejections.
+const USABLE_SLOT_FRACTION: f64 = 0.8;
 
-/// Weight of a request of this rank; 0 is the most urgent.
-pub fn rank_weight(rank: u8) -> f64 {
-    RANK_RATIO.powi(-i32::from(rank))
+/// Returns the weight of a request of this priority; 0 is the most urgent and has weight
+/// 1.
+pub fn priority_weight(priority: u8) -> f64 {
+    PRIORITY_RATIO.powi(-i32::from(priority))
 }
 
-/// What replicas of one model are worth.
+/// Value of the replicas of one model at a given demand, as a function of their number.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaValue {
-    first: f64,
-    spread: f64,
+    first_replica: f64,
+    further_replicas: f64,
     needed: usize,
-    /// Part of the requests present for which one replica has slots.
-    covered_by_one: f64,
+    /// Fraction of the present requests for which one replica has slots.
+    coverage_per_replica: f64,
 }
 
 impl ReplicaValue {
-    /// The value for this demand, whose requests have this `weight` each and of
-    /// which `starved` came while there was no replica, if the policy wants
-    /// `needed` replicas and each runner has `slots`.
-    pub fn new(demand: &ModelDemand, weight: f64, starved: f64, needed: usize, slots: u32) -> Self {
+    /// Creates the value function for `demand`, whose requests have `weight` each.
+    /// `unserved` requests arrived while there was no replica, `needed` replicas are
+    /// wanted by policy, and each runner has `slots`.
+    pub fn new(
+        demand: &ModelDemand,
+        weight: f64,
+        unserved: f64,
+        needed: usize,
+        slots: u32,
+    ) -> Self {
         let present = f64::from(demand.in_flight + demand.waiting).max(1.0);
-        let coming = demand.rate * HORIZON + f64::from(demand.waiting);
+        let expected = demand.rate * HORIZON_SECONDS + f64::from(demand.waiting);
         Self {
-            first: weight * (coming + starved),
-            spread: weight * coming,
+            first_replica: weight * (expected + unserved),
+            further_replicas: weight * expected,
             needed: needed.max(1),
-            covered_by_one: USABLE_PART * f64::from(slots) / present,
+            coverage_per_replica: USABLE_SLOT_FRACTION * f64::from(slots) / present,
         }
     }
 
-    /// Worth of this many replicas. The first one serves; each further one
-    /// shortens what requests wait for each other, and serves those for which
-    /// the others have no slots.
-    fn of(&self, replicas: usize) -> f64 {
-        let share = |count: usize| 1.0 - 1.0 / count as f64;
+    /// Returns the value of `replicas` replicas. The first one serves all requests; each
+    /// further one shortens the waiting of requests for each other, and serves requests
+    /// for which the others have no slots.
+    fn total(&self, replicas: usize) -> f64 {
+        let waiting_saved = |count: usize| 1.0 - 1.0 / count as f64;
         if replicas == 0 {
             return 0.0;
         }
-        let useful = share(replicas.min(self.needed));
-        let spare = share(replicas) - useful;
-        let covered = |count: f64| (count * self.covered_by_one).min(1.0);
+        let within_need = waiting_saved(replicas.min(self.needed));
+        let surplus = waiting_saved(replicas) - within_need;
+        let covered = |count: f64| (count * self.coverage_per_replica).min(1.0);
         let beyond_the_first = covered(replicas as f64) - covered(1.0);
-        self.first + self.spread * (useful + SPARE_PART * spare + beyond_the_first)
+        self.first_replica
+            + self.further_replicas * (within_need + SURPLUS_FRACTION * surplus + beyond_the_first)
     }
 
-    /// What one more than `replicas` adds.
+    /// Returns the value gained by adding one replica to `replicas`.
     pub fn gain(&self, replicas: usize) -> f64 {
-        self.of(replicas + 1) - self.of(replicas)
+        self.total(replicas + 1) - self.total(replicas)
     }
 
-    /// What one less than `replicas` costs.
+    /// Returns the value lost by removing one of `replicas` replicas.
     pub fn loss(&self, replicas: usize) -> f64 {
-        self.of(replicas) - self.of(replicas.saturating_sub(1))
+        self.total(replicas) - self.total(replicas.saturating_sub(1))
     }
 }
 
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -1,23 +1,24 @@
-//! A model runner as the planner sees it.
+//! The planner's view of a model runner.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{HeldModel, ModelSpec, OrderAction, Runner, RunnerState, WeightCopies};
 
-/// Where a load takes the weights from.
+/// Where a load reads the model's weights from, fastest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Source {
-    /// The runner's host memory.
+pub enum WeightSource {
+    /// A copy in the runner's host memory.
     Memory,
-    /// The runner's disk.
+    /// A copy on the runner's disk.
     Disk,
-    /// The weight store.
+    /// The weight store, over the network; loads from it are rate-limited.
     Remote,
 }
 
-impl Source {
-    /// Time that a load of a model like `spec` takes from here.
+impl WeightSource {
+    /// Returns the time that loading a model with `spec` takes from this source without
+    /// concurrent loads.
     pub fn load_time(self, spec: &ModelSpec) -> Duration {
         match self {
             Self::Memory => spec.memory_load,
@@ -27,51 +28,57 @@
     }
 }
 
-/// A model runner with its own report and the orders under way.
+/// A model runner with the content of its latest report and the order in progress.
 #[derive(Debug, Clone)]
 pub struct RunnerView {
-    /// The runner.
+    /// Id of the runner.
     pub id: Arc<str>,
-    /// Its service.
+    /// Name of the service that the runner belongs to.
     pub service: Arc<str>,
-    /// Its zone.
+    /// Zone of the runner.
     pub zone: Arc<str>,
-    /// Whether it takes new work and stays.
+    /// Whether the runner accepts new work: neither its discovery entry nor its own signals
+    /// say that it is draining.
     pub open: bool,
-    /// Whether the operators want nothing more to be sent to its zone.
+    /// Whether the operators have evacuated the runner's zone, so that no new work is
+    /// sent there.
     pub evacuated: bool,
-    /// Calls a second that it takes from all nodes together, if it named a limit a short
-    /// while ago.
+    /// Calls per second that the runner accepts from all nodes together; `None` if it has
+    /// not recently announced a limit.
     pub limit: Option<f64>,
-    /// Whether it may not be called now: its limit is reached, or it asked for a pause.
+    /// Whether the runner may not be called now, because its rate limit is reached or it
+    /// requested a pause.
     pub held_back: bool,
-    /// Models that are asked for more than the limit allows, and stand nowhere else.
-    pub overtaxed: Vec<Arc<str>>,
-    /// Whether its report was not asked for yet since this node may order it: the
-    /// planner has it read before the first order.
+    /// Models of this runner whose demand exceeds its rate limit and that no unlimited
+    /// runner holds. Set in each planning step.
+    pub over_limit: Vec<Arc<str>>,
+    /// Whether the leader reads this runner's report only on demand and has not read it yet.
+    /// The planner requests it before the first order.
     pub unread: bool,
-    /// Whether its report is known since this node may order it.
+    /// Whether this node has a report of the runner that it read as the leader and that
+    /// is not invalidated by a failed call.
     pub reported: bool,
-    /// Whether it answered when it was last asked.
+    /// Whether the runner answered the latest call of this node.
     pub reachable: bool,
-    /// Orders taken.
+    /// Number of orders that the runner has accepted; an order names the number it
+    /// expects.
     pub sequence: u64,
-    /// Whether an order is under way, or may be.
+    /// Whether the runner is carrying out an order, or may be.
     pub busy: bool,
-    /// Models held.
+    /// Models loaded on the runner, with their adapters.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way.
+    /// Adapters being loaded, as pairs of model and adapter.
     pub pending_adapters: Vec<(Arc<str>, Arc<str>)>,
-    /// Copies of weights.
+    /// Models with a copy of their weights in the runner's host memory or on its disk.
     pub copies: WeightCopies,
-    /// The order under way.
+    /// The leader's order that the runner is carrying out or that is being sent; `None` without one.
     pub ordered: Option<OrderAction>,
-    /// When that is expected to be done.
+    /// When the order in progress is expected to end; `None` if unknown.
     pub busy_until: Option<Instant>,
 }
 
 impl RunnerView {
-    /// A runner of which only the discovery's entry is known.
+    /// Creates the view of a runner of which only the discovery entry is known.
     pub fn new(runner: &Runner) -> Self {
         Self {
             id: runner.id.clone(),
@@ -81,7 +88,7 @@
             evacuated: false,
             limit: None,
             held_back: false,
-            overtaxed: Vec::new(),
+            over_limit: Vec::new(),
             unread: false,
             reported: false,
             reachable: true,
@@ -95,51 +102,53 @@
         }
     }
 
-    /// Whether requests go there, as far as its own state and the operators say.
-    pub fn takes_work(&self) -> bool {
+    /// Returns whether requests may be sent to the runner: it is not draining and not in
+    /// an evacuated zone. Reachability is not considered.
+    pub fn accepts_requests(&self) -> bool {
         self.open && !self.evacuated
     }
 
-    /// Whether the planner may order it now.
-    pub fn orderable(&self) -> bool {
+    /// Returns whether the planner may order the runner now.
+    pub fn accepts_orders(&self) -> bool {
         let is_free = !self.busy && self.ordered.is_none() && !self.held_back;
-        self.takes_work() && self.reported && is_free
+        self.accepts_requests() && self.reported && is_free
     }
 
-    /// Whether the planner may order it now, or as soon as its report is read.
-    pub fn orderable_once_read(&self) -> bool {
-        self.orderable() || (self.unread && self.takes_work())
+    /// Returns whether the planner may order the runner now, or as soon as its report has
+    /// been read.
+    pub fn accepts_orders_once_read(&self) -> bool {
+        self.accepts_orders() || (self.unread && self.accepts_requests())
     }
 
-    /// The held model of this name.
-    pub fn held(&self, model: &str) -> Option<&HeldModel> {
+    /// Returns the loaded model of this name.
+    pub fn loaded_model(&self, model: &str) -> Option<&HeldModel> {
         self.models.iter().find(|held| &*held.model == model)
     }
 
-    /// Whether the model is held or being loaded.
+    /// Returns whether the model is loaded or being loaded.
     pub fn holds_or_loads(&self, model: &str) -> bool {
-        self.held(model).is_some() || self.loads(model)
+        self.loaded_model(model).is_some() || self.is_loading(model)
     }
 
-    /// Whether the model is being loaded.
-    pub fn loads(&self, model: &str) -> bool {
+    /// Returns whether the order in progress loads the model.
+    pub fn is_loading(&self, model: &str) -> bool {
         matches!(&self.ordered, Some(OrderAction::LoadModel { model: loading }) if &**loading == model)
     }
 
-    /// Whether the model is being dropped.
+    /// Returns whether the order in progress unloads the model.
     pub fn unloads(&self, model: &str) -> bool {
         matches!(&self.ordered, Some(OrderAction::UnloadModel { model: going }) if &**going == model)
     }
 
-    /// Where a load of the model would take its weights from.
-    pub fn source(&self, model: &str) -> Source {
+    /// Returns the fastest source from which the runner can load the model.
+    pub fn source(&self, model: &str) -> WeightSource {
         let has = |copies: &[Arc<str>]| copies.iter().any(|copy| &**copy == model);
         if has(&self.copies.memory) {
-            Source::Memory
+            WeightSource::Memory
         } else if has(&self.copies.disk) {
-            Source::Disk
+            WeightSource::Disk
         } else {
-            Source::Remote
+            WeightSource::Remote
         }
     }
 }
--- a/crates/loading/tests/planner.rs
+++ b/crates/loading/tests/planner.rs
@@ -1,4 +1,5 @@
-//! The planner's orders: memory, replicas, pace, adapters, eviction; the lease.
+//! Tests of the planner's orders (memory, replicas, load rate, adapters, eviction) and of
+//! the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,13 +11,13 @@
 };
 use barleyspar_dispatch::DemandItem;
 use barleyspar_loading::{
-    DemandBook, Lease, LeaseSettings, LoadPace, PaceLimits, Planner, PlannerSettings, RunnerView,
-    Switches, free_mb,
+    DemandBook, Lease, LeaseSettings, LoadRateLimiter, PaceLimits, Planner, PlannerSettings,
+    RunnerView, Switches, free_mb,
 };
 use barleyspar_policy::Program;
 
 const SERVICE: &str = "engine";
-const BELIEVED_FOR: Duration = Duration::from_secs(3);
+const VALID_FOR: Duration = Duration::from_secs(3);
 
 fn configuration(models: &[&str]) -> Configuration {
     let spec = ModelSpec {
@@ -61,7 +62,7 @@
         evacuated: false,
         limit: None,
         held_back: false,
-        overtaxed: Vec::new(),
+        over_limit: Vec::new(),
         unread: false,
         reported: true,
         reachable: true,
@@ -82,7 +83,7 @@
     }
 }
 
-fn wish(model: &str, adapter: Option<&str>, waiting: u32) -> DemandItem {
+fn demand_item(model: &str, adapter: Option<&str>, waiting: u32) -> DemandItem {
     DemandItem {
         service: SERVICE.into(),
         model: model.into(),
@@ -94,8 +95,8 @@
     }
 }
 
-/// The load ordered at `runner` is done.
-fn end_load(runner: &mut RunnerView) {
+/// Ends the load ordered at `runner`.
+fn finish_load(runner: &mut RunnerView) {
     if let Some(OrderAction::LoadModel { model }) = runner.ordered.take() {
         runner.models.push(HeldModel {
             model,
@@ -108,17 +109,17 @@
 
 struct Case {
     planner: Planner,
-    book: DemandBook,
+    cluster_demand: DemandBook,
     now: Instant,
 }
 
 impl Case {
-    fn new(policy: &str, wishes: Vec<DemandItem>) -> Self {
+    fn new(policy: &str, demand_items: Vec<DemandItem>) -> Self {
         let started = Instant::now();
-        let policy = Program::compile(policy).expect("the policy is well formed");
-        let mut book = DemandBook::default();
+        let policy = Program::compile(policy).expect("the policy compiles");
+        let mut cluster_demand = DemandBook::default();
         let now = started + Duration::from_secs(10);
-        book.update("node".into(), wishes, BELIEVED_FOR, now);
+        cluster_demand.update("node".into(), demand_items, VALID_FOR, now);
         Self {
             planner: Planner::new(
                 PlannerSettings {
@@ -131,7 +132,7 @@
                 },
                 started,
             ),
-            book,
+            cluster_demand,
             now,
         }
     }
@@ -142,14 +143,14 @@
         runners: &mut [RunnerView],
     ) -> Vec<(String, OrderAction)> {
         self.planner
-            .plan(configuration, runners, &mut self.book, self.now)
+            .plan(configuration, runners, &mut self.cluster_demand, self.now)
             .into_iter()
             .map(|order| (order.runner.to_string(), order.action))
             .collect()
     }
 }
 
-const ONE: &str = "fn decide(context) { #{ replicas: 2, target: 1 } }";
+const TARGET_ONE: &str = "fn decide(context) { #{ replicas: 2, target: 1 } }";
 
 fn load(model: &str) -> OrderAction {
     OrderAction::LoadModel {
@@ -165,15 +166,15 @@
 
 #[test]
 fn a_wanted_model_goes_where_there_is_room() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &["a", "b"]), runner("2", &["a"])];
     let orders = case.plan(&configuration(&["a", "b", "c"]), &mut runners);
     assert_eq!(orders, [("2".to_owned(), load("c"))]);
 }
 
 #[test]
-fn it_goes_where_a_copy_is_near() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+fn a_wanted_model_goes_where_a_local_weight_copy_is() {
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &[]), runner("2", &[])];
     runners[1].copies.disk = vec!["c".into()];
     let orders = case.plan(&configuration(&["c"]), &mut runners);
@@ -182,7 +183,7 @@
 
 #[test]
 fn room_is_made_before_a_load_is_ordered() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &["a", "b"])];
     let orders = case.plan(&configuration(&["a", "b", "c"]), &mut runners);
     assert!(
@@ -192,9 +193,13 @@
 }
 
 #[test]
-fn a_model_that_is_wanted_and_the_last_does_not_make_way() {
-    let wishes = vec![wish("a", None, 1), wish("b", None, 1), wish("c", None, 1)];
-    let mut case = Case::new(ONE, wishes);
+fn the_last_replica_of_a_model_with_demand_is_not_evicted() {
+    let demand_items = vec![
+        demand_item("a", None, 1),
+        demand_item("b", None, 1),
+        demand_item("c", None, 1),
+    ];
+    let mut case = Case::new(TARGET_ONE, demand_items);
     let mut runners = [runner("1", &["a", "b"])];
     assert_eq!(
         case.plan(&configuration(&["a", "b", "c"]), &mut runners),
@@ -210,7 +215,7 @@
         |runner| runner.open = false,
         |runner| runner.ordered = Some(unload("a")),
     ] {
-        let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+        let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
         let mut runners = [runner("1", &[])];
         change(&mut runners[0]);
         assert_eq!(case.plan(&configuration(&["a", "c"]), &mut runners), []);
@@ -219,7 +224,7 @@
 
 #[test]
 fn a_load_under_way_counts_as_a_replica_and_takes_memory() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 5)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 5)]);
     let mut runners = [runner("1", &["a"]), runner("2", &[])];
     runners[0].ordered = Some(load("c"));
     runners[0].busy = true;
@@ -228,57 +233,66 @@
     let engine = configuration.services[SERVICE]
         .engine
         .as_ref()
-        .expect("it is one");
+        .expect("the service has an engine");
     assert!(free_mb(&runners[0], engine) < 10.0);
 }
 
 #[test]
-fn an_unreachable_replica_is_replaced_within_the_count_decided() {
-    let lost = |policy: &str| {
-        let mut case = Case::new(policy, vec![wish("a", None, 1)]);
+fn an_unreachable_replica_is_replaced_within_the_policys_maximum() {
+    let orders_after_loss = |policy: &str| {
+        let mut case = Case::new(policy, vec![demand_item("a", None, 1)]);
         let mut runners = [runner("1", &["a"]), runner("2", &[])];
         runners[0].reachable = false;
         runners[0].reported = false;
         case.plan(&configuration(&["a"]), &mut runners)
     };
-    assert_eq!(lost(ONE), [("2".to_owned(), load("a"))]);
-    assert_eq!(lost("fn decide(context) { #{ replicas: 1 } }"), []);
+    assert_eq!(orders_after_loss(TARGET_ONE), [("2".to_owned(), load("a"))]);
+    assert_eq!(
+        orders_after_loss("fn decide(context) { #{ replicas: 1 } }"),
+        []
+    );
 }
 
 #[test]
-fn loads_from_the_store_are_paced() {
+fn loads_from_the_store_are_rate_limited() {
     let names: Vec<String> = (0..20).map(|number| format!("m{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let wishes = names.iter().map(|name| wish(name, None, 1)).collect();
-    let mut case = Case::new(ONE, wishes);
+    let demand_items = names
+        .iter()
+        .map(|name| demand_item(name, None, 1))
+        .collect();
+    let mut case = Case::new(TARGET_ONE, demand_items);
     let configuration = configuration(&names);
     let mut runners: Vec<RunnerView> = (0..20)
         .map(|number| runner(&number.to_string(), &[]))
         .collect();
     let mut loads = 0;
-    // Ten steps of half a second: five seconds at two loads a second.
+    // Ten steps of half a second: five seconds at two loads per second.
     for _ in 0..10 {
         loads += case.plan(&configuration, &mut runners).len();
-        // They end at once, so that nothing but the pace holds further ones up.
-        runners.iter_mut().for_each(end_load);
+        // Loads end at once, so that only the rate limit delays further ones.
+        runners.iter_mut().for_each(finish_load);
         case.now += Duration::from_millis(500);
-        let wishes = names.iter().map(|name| wish(name, None, 1)).collect();
-        case.book
-            .update("node".into(), wishes, BELIEVED_FOR, case.now);
+        let demand_items = names
+            .iter()
+            .map(|name| demand_item(name, None, 1))
+            .collect();
+        case.cluster_demand
+            .update("node".into(), demand_items, VALID_FOR, case.now);
     }
     assert!((8..=13).contains(&loads), "{loads} loads in five seconds");
 }
 
 #[test]
 fn a_full_runner_drops_the_adapter_used_the_longest_ago() {
-    let mut case = Case::new(ONE, vec![wish("a", Some("new"), 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("a", Some("new"), 1)]);
     let earlier = case.now - Duration::from_secs(1);
-    let mut used = wish("a", Some("recent"), 0);
+    let mut used = demand_item("a", Some("recent"), 0);
     used.in_flight = 1;
-    case.book
-        .update("other".into(), vec![used], BELIEVED_FOR, earlier);
-    case.book
-        .update("other".into(), Vec::new(), BELIEVED_FOR, case.now);
+    case.cluster_demand
+        .update("other".into(), vec![used], VALID_FOR, earlier);
+    case.cluster_demand
+        .update("other".into(), Vec::new(), VALID_FOR, case.now);
     let mut runners = [runner("1", &["a"])];
     runners[0].models[0].adapters = vec!["recent".into(), "old".into()];
     let orders = case.plan(&configuration(&["a"]), &mut runners);
@@ -290,7 +304,7 @@
 }
 
 #[test]
-fn a_lease_is_used_only_while_it_surely_lasts_and_after_its_quiet_time() {
+fn a_lease_allows_orders_only_while_valid_and_after_its_quiet_period() {
     let start = Instant::now();
     let second = Duration::from_secs(1);
     let settings = LeaseSettings {
@@ -303,35 +317,41 @@
     assert!(!lease.may_order(start + 4 * second - second / 10));
     lease.renewed(start + 3 * second, 4 * second);
     assert!(lease.may_order(start + 6 * second));
-    assert!(!lease.surely_held(start + 7 * second));
+    assert!(!lease.is_valid(start + 7 * second));
 }
 
-/// Found on scale days: adapters waited for seconds behind the load of a model
-/// that had been ordered at the only runner that could take them.
+/// Guards against adapters that wait for seconds: a model load had been ordered at the
+/// only runner that could load them.
 #[test]
 fn a_load_leaves_a_runner_that_takes_adapters() {
-    let mut adapted = wish("a", Some("x"), 0);
-    adapted.in_flight = 1;
-    let mut case = Case::new(ONE, vec![adapted, wish("c", None, 1)]);
+    let mut with_active_adapters = demand_item("a", Some("x"), 0);
+    with_active_adapters.in_flight = 1;
+    let mut case = Case::new(
+        TARGET_ONE,
+        vec![with_active_adapters, demand_item("c", None, 1)],
+    );
     let mut runners = [runner("1", &["a"]), runner("2", &["b"])];
-    // The runner that must stay free would be the quicker one.
+    // A copy in memory makes the runner that must stay free the faster one.
     runners[0].copies.memory = vec!["c".into()];
     runners[0].models[0].adapters = vec!["x".into()];
     let orders = case.plan(&configuration(&["a", "b", "c"]), &mut runners);
     assert_eq!(orders, [("2".to_owned(), load("c"))]);
 }
 
-/// Found on a scale day of a large site: a model whose one replica was full got
-/// no other for 22 s, since always some rare model had none.
+/// Guards against a full model that gets no further replica (22 s in a simulated large
+/// site) as long as any rare model has none.
 #[test]
 fn a_full_model_gets_a_further_replica_though_others_have_none() {
     let names: Vec<String> = (0..20).map(|number| format!("m{number}")).collect();
     let mut models: Vec<&str> = names.iter().map(String::as_str).collect();
     models.push("busy");
-    let mut wishes: Vec<DemandItem> = names.iter().map(|name| wish(name, None, 1)).collect();
-    wishes.push(wish("busy", None, 50));
+    let mut demand_items: Vec<DemandItem> = names
+        .iter()
+        .map(|name| demand_item(name, None, 1))
+        .collect();
+    demand_items.push(demand_item("busy", None, 50));
     let policy = "fn decide(context) { #{ replicas: 5, target: 4 } }";
-    let mut case = Case::new(policy, wishes);
+    let mut case = Case::new(policy, demand_items);
     let mut runners: Vec<RunnerView> = (0..20)
         .map(|number| runner(&number.to_string(), &[]))
         .collect();
@@ -342,13 +362,13 @@
 }
 
 #[test]
-fn a_burst_calls_for_no_more_than_twice_the_replicas_and_two() {
+fn a_burst_at_most_doubles_the_replicas_plus_two() {
     let policy = "fn decide(context) { #{ replicas: 20, target: 20 } }";
-    let mut case = Case::new(policy, vec![wish("a", None, 500)]);
+    let mut case = Case::new(policy, vec![demand_item("a", None, 500)]);
     let mut runners: Vec<RunnerView> = (0..20)
         .map(|number| {
             let mut runner = runner(&number.to_string(), &[]);
-            // Loads from a copy have no pace.
+            // The rate limit does not apply to loads from a copy.
             runner.copies.disk = vec!["a".into()];
             runner
         })
@@ -357,13 +377,13 @@
     for _ in 0..10 {
         orders += case.plan(&configuration(&["a"]), &mut runners).len();
     }
-    assert_eq!(orders, 2, "none is there yet");
+    assert_eq!(orders, 2, "no replica is loaded yet");
 }
 
 #[test]
 fn room_is_made_only_for_loads_that_may_begin() {
-    let wishes = (0..10).map(|number| wish(&format!("m{number}"), None, 1));
-    let mut case = Case::new(ONE, wishes.collect());
+    let demand_items = (0..10).map(|number| demand_item(&format!("m{number}"), None, 1));
+    let mut case = Case::new(TARGET_ONE, demand_items.collect());
     let names: Vec<String> = (0..10).map(|number| format!("m{number}")).collect();
     let mut models: Vec<&str> = names.iter().map(String::as_str).collect();
     models.extend(["x", "y"]);
@@ -376,19 +396,20 @@
 
 #[test]
 fn orders_of_one_sequence_number_count_as_one_load() {
-    let mut case = Case::new(ONE, vec![wish("a", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("a", None, 1)]);
     let configuration = configuration(&["a"]);
     let mut runners = [runner("1", &[])];
     for _ in 0..20 {
-        // Its answer was lost, and the report says that it was not carried out.
+        // The answer to the order was lost, and the report shows that it was not carried
+        // out.
         runners[0].ordered = None;
         assert_eq!(case.plan(&configuration, &mut runners).len(), 1);
     }
 }
 
-/// In no window do more loads begin than the site allows.
+/// No window may contain more loads than the site allows.
 #[test]
-fn the_pace_keeps_to_the_sites_window_and_overage() {
+fn the_load_rate_keeps_to_the_sites_window_and_overage() {
     for (rate, seconds, overage) in [(2.2, 5, 1.1), (42.0, 5, 1.1), (10.0, 2, 1.0)] {
         let limits = PaceLimits {
             window: Duration::from_secs(seconds),
@@ -396,30 +417,30 @@
         };
         let allowed = rate * seconds as f64 * overage + 3.0;
         let start = Instant::now();
-        let mut pace = LoadPace::new(limits, start);
-        let mut begun: Vec<Duration> = Vec::new();
+        let mut limiter = LoadRateLimiter::new(limits, start);
+        let mut started: Vec<Duration> = Vec::new();
         for step in 0..600 {
             let at = Duration::from_millis(step * 100);
-            // A rest now and then, so that the bucket is full after it.
-            while step % 100 > 60 && pace.ready(start + at, rate) >= 1.0 {
-                pace.take();
-                begun.push(at);
+            // Pauses now and then, so that the bucket is full afterwards.
+            while step % 100 > 60 && limiter.refill(start + at, rate) >= 1.0 {
+                limiter.consume();
+                started.push(at);
             }
         }
-        for first in &begun {
+        for first in &started {
             let end = *first + limits.window;
-            let inside = begun.iter().filter(|at| *at >= first && **at < end);
+            let inside = started.iter().filter(|at| *at >= first && **at < end);
             assert!(inside.count() as f64 <= allowed, "{rate} a second");
         }
     }
 }
 
-/// Found on a scale day of the first site: adapters of a model that had just
-/// come up waited for 6 s, since its runner was given another model at once.
+/// Guards against adapters of a freshly loaded model that wait for 6 s, because its
+/// runner was ordered to load another model at once.
 #[test]
-fn an_adapter_goes_before_a_model_at_the_same_runner() {
-    let wishes = vec![wish("a", Some("x"), 1), wish("b", None, 9)];
-    let mut case = Case::new(ONE, wishes);
+fn an_adapter_is_ordered_before_a_model_at_the_same_runner() {
+    let demand_items = vec![demand_item("a", Some("x"), 1), demand_item("b", None, 9)];
+    let mut case = Case::new(TARGET_ONE, demand_items);
     let mut runners = [runner("1", &["a"])];
     let orders = case.plan(&configuration(&["a", "b"]), &mut runners);
     let adapter = OrderAction::LoadAdapter {
@@ -433,17 +454,17 @@
 fn an_unknown_switch_is_named() {
     let error = "ranks,speed"
         .parse::<Switches>()
-        .expect_err("there is none");
+        .expect_err("there is no mechanism of this name");
     assert!(error.to_string().contains("\"speed\""), "{error}");
     assert!(error.to_string().contains("near-copies"), "{error}");
     assert_eq!("".parse(), Ok(Switches::default()));
 }
 
-/// Found on the third customer's days: loads of 6 s from the weight store were
-/// begun while the runner that had the weights on disk was busy for a moment.
+/// Guards against 6 s loads from the weight store that start while the runner with a
+/// local weight copy is busy for a moment.
 #[test]
-fn a_busy_runner_with_a_copy_is_waited_for() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+fn a_model_waits_for_a_busy_runner_with_a_local_weight_copy() {
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &[]), runner("2", &[])];
     runners[1].copies.memory = vec!["c".into()];
     runners[1].busy = true;
@@ -455,38 +476,42 @@
     assert_eq!(orders, [("2".to_owned(), load("c"))]);
 }
 
-/// Found on the third customer's days: places stood empty for 2 s, since after
-/// each unload some other model seemed more urgent at some other runner.
+/// Guards against memory that stays unused for 2 s after an unload, because in the next
+/// step another model seems more urgent at another runner.
 #[test]
 fn room_that_was_made_is_used_at_once() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &["a", "b"]), runner("2", &["a", "b"])];
     let configuration = configuration(&["a", "b", "c", "d"]);
     let orders = case.plan(&configuration, &mut runners);
-    let [(freed, OrderAction::UnloadModel { model: victim })] = &orders[..] else {
+    let [(freed, OrderAction::UnloadModel { model: evicted })] = &orders[..] else {
         panic!("{orders:?}");
     };
-    let place = runners
+    let index = runners
         .iter()
         .position(|runner| *runner.id == **freed)
-        .expect("it is one of them");
-    runners[place].models.retain(|held| held.model != *victim);
-    runners[place].ordered = None;
-    // Meanwhile many more wait for another model.
-    let wishes = vec![wish("c", None, 1), wish("d", None, 50)];
-    case.book
-        .update("node".into(), wishes, BELIEVED_FOR, case.now);
+        .expect("the order names one of the runners");
+    runners[index].models.retain(|held| held.model != *evicted);
+    runners[index].ordered = None;
+    // Meanwhile many more requests wait for another model.
+    let demand_items = vec![demand_item("c", None, 1), demand_item("d", None, 50)];
+    case.cluster_demand
+        .update("node".into(), demand_items, VALID_FOR, case.now);
     let orders = case.plan(&configuration, &mut runners);
     assert!(orders.contains(&(freed.clone(), load("d"))), "{orders:?}");
-    assert_eq!(orders.len(), 2, "room for the other is made elsewhere");
+    assert_eq!(
+        orders.len(),
+        2,
+        "the other model gets its memory on the other runner"
+    );
 }
 
 #[test]
 fn a_load_goes_where_it_disturbs_few_streams() {
-    let mut streaming = wish("a", None, 0);
+    let mut streaming = demand_item("a", None, 0);
     streaming.in_flight = 30;
     streaming.rate = 10.0;
-    let mut case = Case::new(ONE, vec![streaming, wish("c", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![streaming, demand_item("c", None, 1)]);
     let mut runners = [runner("1", &["a"]), runner("2", &["b"])];
     let orders = case.plan(&configuration(&["a", "b", "c"]), &mut runners);
     assert_eq!(orders, [("2".to_owned(), load("c"))]);
@@ -495,42 +520,44 @@
 #[test]
 fn a_policy_says_in_which_zones_a_model_may_be() {
     let policy = r#"fn decide(context) { #{ replicas: 1, zones: ["north"] } }"#;
-    let mut case = Case::new(policy, vec![wish("c", None, 1)]);
+    let mut case = Case::new(policy, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &[]), runner("2", &["a"])];
     runners[1].zone = "north".into();
-    // The other would be the quicker one.
+    // The runner in the other zone would be faster.
     runners[0].copies.memory = vec!["c".into()];
     let orders = case.plan(&configuration(&["a", "c"]), &mut runners);
     assert_eq!(orders, [("2".to_owned(), load("c"))]);
 }
 
 #[test]
-fn a_policy_sees_the_rank_and_who_was_never_served() {
+fn a_policy_sees_the_priority_and_unserved_requests() {
     let policy = "fn decide(context) {
         #{ replicas: if context.priority == 1 && context.starved > 1.5 { 1 } else { 0 } }
     }";
     let asked = || DemandItem {
         rate: 1.0,
-        ..wish("c", None, 1)
+        ..demand_item("c", None, 1)
     };
     let mut case = Case::new(policy, vec![asked()]);
     let mut runners = [runner("1", &[])];
     let configuration = configuration(&["c"]);
-    // Nobody has planned since the start, ten seconds ago: that counts once.
+    // The time since the planner's start, ten seconds ago, must not count as unserved
+    // demand.
     case.planner.restart(case.now);
     assert_eq!(case.plan(&configuration, &mut runners), []);
     case.now += Duration::from_secs(2);
-    case.book
-        .update("node".into(), vec![asked()], BELIEVED_FOR, case.now);
+    case.cluster_demand
+        .update("node".into(), vec![asked()], VALID_FOR, case.now);
     let orders = case.plan(&configuration, &mut runners);
     assert_eq!(orders, [("1".to_owned(), load("c"))]);
 }
 
 #[test]
-fn a_runner_that_stays_busy_is_not_waited_for_without_end() {
-    // Found on a played day: the busiest model got no further replica for twelve
-    // seconds, since a runner with a copy was thought free in a moment all along.
-    let mut case = Case::new(ONE, vec![wish("a", None, 3)]);
+fn a_model_does_not_wait_forever_for_a_runner_that_stays_busy() {
+    // Guards against waiting forever for a busy runner with a copy: the busiest model got
+    // no further replica for twelve seconds, because that runner was always expected to
+    // be free soon.
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("a", None, 3)]);
     let mut busy = runner("1", &[]);
     busy.copies.disk = vec!["a".into()];
     busy.busy = true;
@@ -538,19 +565,23 @@
     let mut runners = [busy, runner("2", &[])];
     let configuration = configuration(&["a"]);
     let orders = case.plan(&configuration, &mut runners);
-    assert_eq!(orders, [], "the copy's runner is free sooner");
+    assert_eq!(
+        orders,
+        [],
+        "the runner with the copy is expected to be free sooner"
+    );
     case.now += Duration::from_secs(4);
-    case.book.update(
+    case.cluster_demand.update(
         "node".into(),
-        vec![wish("a", None, 3)],
-        BELIEVED_FOR,
+        vec![demand_item("a", None, 3)],
+        VALID_FOR,
         case.now,
     );
     let orders = case.plan(&configuration, &mut runners);
     assert_eq!(orders, [("2".to_owned(), load("a"))]);
 }
 
-/// The policy that is deployed.
+/// The policy in the deployment folder.
 const DEPLOYED: &str = include_str!("../../../deploy/policy.rhai");
 
 #[test]
@@ -558,16 +589,16 @@
     let crowded = DemandItem {
         in_flight: 36,
         rate: 28.0,
-        ..wish("hot", None, 20)
+        ..demand_item("hot", None, 20)
     };
-    let mut wishes = vec![crowded];
+    let mut demand_items = vec![crowded];
     let other = |number: usize| format!("other-{number}");
     for number in 0..17 {
         let idle = number > 9;
-        wishes.push(DemandItem {
+        demand_items.push(DemandItem {
             in_flight: if idle { 0 } else { 3 },
             rate: if idle { 0.02 } else { 3.0 },
-            ..wish(&other(number), None, 0)
+            ..demand_item(&other(number), None, 0)
         });
     }
     let names: Vec<String> = (0..17).map(other).chain(["hot".to_owned()]).collect();
@@ -576,8 +607,11 @@
     let service = configuration
         .services
         .get_mut(SERVICE)
-        .expect("it is there");
-    let engine = Arc::make_mut(service).engine.as_mut().expect("it has one");
+        .expect("the service is configured");
+    let engine = Arc::make_mut(service)
+        .engine
+        .as_mut()
+        .expect("the service has an engine");
     engine.slots = 12;
     let mut runners: Vec<RunnerView> = (0..10)
         .map(|number| {
@@ -590,7 +624,7 @@
             runner(&number.to_string(), &[&first, &second])
         })
         .collect();
-    let mut case = Case::new(DEPLOYED, wishes);
+    let mut case = Case::new(DEPLOYED, demand_items);
     let orders = case.plan(&configuration, &mut runners);
     let for_room = |(_, action): &(String, OrderAction)| !action.is_load();
     assert!(
@@ -598,17 +632,20 @@
         "{orders:?}"
     );
     let summary = &case.planner.summaries()[0];
-    let most = summary.most_wanted.as_ref().expect("some model is");
+    let most = summary
+        .most_wanted
+        .as_ref()
+        .expect("a model has waiting requests");
     assert_eq!((&*most.model, most.replicas), ("hot", 3));
     assert_eq!(most.needed, 10, "one on each runner: {most:?}");
 }
 
-/// A leader of thousands of runners does not ask them all for their reports: what
-/// their entries say is enough to choose a place, and the report of that one is read
-/// before the first order there.
+/// A leader of thousands of runners does not read all their reports at once: the
+/// discovery entries suffice to choose a placement, and only that runner's report is read
+/// before its first order.
 #[test]
 fn a_runner_whose_report_was_never_read_is_read_and_then_ordered() {
-    let mut case = Case::new(ONE, vec![wish("c", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("c", None, 1)]);
     let mut runners = [runner("1", &["a", "b"]), runner("2", &["a"])];
     for runner in &mut runners {
         runner.unread = true;
@@ -626,7 +663,7 @@
 
 #[test]
 fn an_adapter_is_loaded_at_a_runner_once_its_report_is_read() {
-    let mut case = Case::new(ONE, vec![wish("a", Some("a1"), 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("a", Some("a1"), 1)]);
     let mut runners = [runner("1", &["a"])];
     runners[0].unread = true;
     runners[0].reported = false;
@@ -640,17 +677,17 @@
     assert!(orders[0].1.adapter().is_some());
 }
 
-/// Where nothing is sent nothing is loaded; what stands there counts against what the
-/// policy allows, and is wanted elsewhere.
+/// An evacuated runner gets no orders. Its replicas count against the policy's maximum
+/// but not as reachable, so the model is loaded elsewhere.
 #[test]
 fn an_evacuated_runner_is_not_ordered_and_its_replica_is_loaded_elsewhere() {
-    let mut case = Case::new(ONE, vec![wish("a", None, 1)]);
+    let mut case = Case::new(TARGET_ONE, vec![demand_item("a", None, 1)]);
     let mut runners = [runner("1", &["a"]), runner("2", &[]), runner("3", &[])];
     runners[0].evacuated = true;
     runners[1].evacuated = true;
     let configuration = configuration(&["a"]);
     let orders = case.plan(&configuration, &mut runners);
     assert_eq!(orders, [("3".to_owned(), load("a"))]);
-    end_load(&mut runners[2]);
+    finish_load(&mut runners[2]);
     assert_eq!(case.plan(&configuration, &mut runners), []);
 }
