--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,9 +1,10 @@
-//! Permits to take tenants' requests, to call rate-limited runners, and to send on requests that
-//! were at crashed runners, from one count over all nodes.
+//! Permits to accept tenants' requests, to call rate-limited runners, and to resend
+//! requests that were at crashed runners, counted across all nodes.
 //!
-//! Each limit has an owner among the nodes that hear each other; the others ask it
-//! before they take a request or call the runner, which costs one exchange of
-//! datagrams. Who gets no answer goes by the reserve that the owner granted before.
+//! Each limit has an owner among the nodes that hear from each other. The other nodes ask
+//! the owner before they accept a request or call the runner, which costs one exchange of
+//! datagrams. A node that gets no answer uses the reserve that the owner granted it
+//! earlier.
 
 mod owners;
 mod task;
@@ -17,59 +18,61 @@
 
 pub use task::QuotaTask;
 
-/// Time for which an owner is asked to count a crash: a silent one is replaced in less.
+/// Time for which a node keeps asking a limit owner to count a crash. An unresponsive
+/// owner is replaced in less time.
 const CRASH_PATIENCE: Duration = Duration::from_secs(3);
 
-/// What becomes of a request.
+/// Decision on a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaDecision {
-    /// It may be taken.
+    /// The permit is granted.
     Granted,
-    /// The limit is reached; it would be granted after this time.
+    /// The limit is reached. A repeated request would be granted after this time.
     Denied(Duration),
-    /// Nobody who knows has answered.
+    /// No limit owner answered, and the reserve was not sufficient.
     Unknown,
 }
 
-/// Messages to the task.
+/// Commands to the quota task.
 enum Command {
     Admit {
         subject: Subject,
-        named: Option<RunnerLimit>,
+        announced_limit: Option<RunnerLimit>,
         cost: u64,
         once_for: Option<Arc<str>>,
         patience: Duration,
         reply: oneshot::Sender<QuotaDecision>,
     },
-    GiveBack {
+    Refund {
         subject: Subject,
         cost: u64,
     },
-    Asked(QuotaRequest),
-    Answered {
+    PeerRequest(QuotaRequest),
+    OwnerAnswer {
         number: u64,
         answer: QuotaAnswer,
     },
 }
 
-/// A handle to the task.
+/// A handle to the quota task of this node; clones share the task.
 #[derive(Debug, Clone)]
 pub struct QuotaHandle {
-    // Bounded by the requests in flight and by what peers send: each command is
-    // carried out at once.
+    // Bounded by the requests in flight and by the messages of peers: the task handles
+    // each command immediately.
     commands: mpsc::UnboundedSender<Command>,
 }
 
-/// The receiving end of a [`QuotaHandle`].
+/// The receiving end of a [`QuotaHandle`], consumed by the task.
 pub struct QuotaInbox(mpsc::UnboundedReceiver<Command>);
 
-/// Creates the handle; [`QuotaTask::new`] takes the other end.
+/// Creates a handle and its receiving end, which [`QuotaTask::new`] takes.
 pub fn channel() -> (QuotaHandle, QuotaInbox) {
     let (commands, inbox) = mpsc::unbounded_channel();
     (QuotaHandle { commands }, QuotaInbox(inbox))
 }
 
-/// What a request was granted; given back when it is dropped unless it was used.
+/// Units granted to a tenant's request. They are returned to the quota when the charge is
+/// dropped, unless it was marked as used.
 #[derive(Debug)]
 pub struct Charge {
     quota: QuotaHandle,
@@ -79,7 +82,7 @@
 }
 
 impl Charge {
-    /// What a request of `tenant` was granted.
+    /// Records `cost` units granted to a request of `tenant`, not yet used.
     pub fn new(quota: QuotaHandle, tenant: Arc<str>, cost: u64) -> Self {
         Self {
             quota,
@@ -89,12 +92,13 @@
         }
     }
 
-    /// Units that were granted.
+    /// Returns the number of units granted.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// Notes that the request may have run.
+    /// Marks the units as used, because the request may have run. They are not returned
+    /// on drop.
     pub fn used(&mut self) {
         self.used = true;
     }
@@ -104,24 +108,25 @@
     fn drop(&mut self) {
         if !self.used {
             let (subject, cost) = (Subject::Tenant(self.tenant.clone()), self.cost);
-            self.quota.send(Command::GiveBack { subject, cost });
+            self.quota.send(Command::Refund { subject, cost });
         }
     }
 }
 
 impl QuotaHandle {
     fn send(&self, command: Command) {
-        // The task ends only with the process.
+        // The task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 
-    /// Asks for a permit to take a request of `tenant` that counts `cost` units and
-    /// can wait for `patience` until somebody who knows answers.
+    /// Requests a permit to accept a request of `tenant` that costs `cost` units. Waits
+    /// for up to `patience` for a limit owner while none answers and the reserve is used
+    /// up.
     pub async fn admit(&self, tenant: Arc<str>, cost: u64, patience: Duration) -> QuotaDecision {
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Tenant(tenant),
-            named: None,
+            announced_limit: None,
             cost,
             once_for: None,
             patience,
@@ -130,12 +135,12 @@
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Asks for a permit to call `runner` once, which named this limit.
+    /// Requests a permit for one call of `runner`, which announced `limit`.
     pub async fn admit_call(&self, runner: Arc<str>, limit: RunnerLimit) -> QuotaDecision {
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Runner(runner),
-            named: Some(limit),
+            announced_limit: Some(limit),
             cost: 1,
             once_for: None,
             patience: Duration::ZERO,
@@ -144,8 +149,8 @@
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Asks whether `request` may be sent on although `runner` crashed with it there,
-    /// which counts `weight`.
+    /// Asks whether `request` may be sent to another runner after `runner` crashed while
+    /// processing it. The crash counts `weight` against the request, once per runner.
     pub async fn admit_crash(
         &self,
         request: Fingerprint,
@@ -155,7 +160,7 @@
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Request(request),
-            named: None,
+            announced_limit: None,
             cost: weight,
             once_for: Some(runner),
             patience: CRASH_PATIENCE,
@@ -164,13 +169,13 @@
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Another node asks this one.
+    /// Handles a peer's request for a permit; the task sends the answer to the peer.
     pub fn asked(&self, request: QuotaRequest) {
-        self.send(Command::Asked(request));
+        self.send(Command::PeerRequest(request));
     }
 
-    /// The owner of a limit has answered request `number`.
+    /// Handles the limit owner's answer to the request `number` of this node.
     pub fn answered(&self, number: u64, answer: QuotaAnswer) {
-        self.send(Command::Answered { number, answer });
+        self.send(Command::OwnerAnswer { number, answer });
     }
 }
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -1,4 +1,5 @@
-//! Which node is a limit's owner: a pure function of the nodes that are heard.
+//! Chooses the node that owns each limit: a pure function of the limit's name and the
+//! responsive nodes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,71 +12,77 @@
 
 use crate::peers::Heard;
 
-/// Time for which one look at the nodes that are heard is used: an owner is asked
-/// for each request, and who is heard changes with messages 0.25 s apart.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// Interval at which the list of responsive nodes is refreshed. An owner is needed for
+/// each request, and the list changes only with messages that arrive 0.25 s apart.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which a node counts as heard that only stands in the store: two
-/// messages' time. Entries outlast their nodes by seconds, and a node that is gone
-/// answers nobody as an owner.
-const NEWCOMER_SILENCE: Duration = Duration::from_millis(500);
+/// Time for which a node that is listed in the store, but has sent no message, counts as
+/// responsive: the interval of two messages. Store entries outlive their nodes by
+/// seconds, and a node that is gone answers no requests as an owner.
+const UNSEEN_NODE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Owners that are kept; beyond that they are picked anew.
-const MOST_KEPT: usize = 10_000;
+/// Maximum number of owners that are cached; the cache is cleared beyond it.
+const MAXIMUM_CACHED: usize = 10_000;
 
-/// The nodes that are heard, this one included, and the owners among them.
+/// The responsive nodes, including this one, and a cache of the limit owners among them.
 #[derive(Debug)]
 pub struct Owners {
-    own: (Arc<str>, u32),
+    this_node: (Arc<str>, u32),
     nodes: Vec<(Arc<str>, u32)>,
-    all: usize,
-    looked_at: Option<Instant>,
+    node_count: usize,
+    refreshed_at: Option<Instant>,
     owners: HashMap<Arc<str>, Arc<str>>,
 }
 
 impl Owners {
-    /// Owners as the node with these settings sees them.
+    /// Creates the owner table of the node with these settings.
     pub fn new(settings: &NodeSettings) -> Self {
         Self::of_node(settings.name.clone(), settings.limits.link_megabits)
     }
 
-    /// Owners as the node `name` sees them, whose link has `capacity` megabits a
-    /// second.
+    /// Creates the owner table of the node `name`, whose link has a `capacity` in
+    /// megabits per second.
     fn of_node(name: Arc<str>, capacity: u32) -> Self {
         Self {
-            own: (name, capacity),
+            this_node: (name, capacity),
             nodes: Vec::new(),
-            all: 1,
-            looked_at: None,
+            node_count: 1,
+            refreshed_at: None,
             owners: HashMap::new(),
         }
     }
 
-    /// Whether a look at the nodes is due.
-    pub fn is_due(&self, now: Instant) -> bool {
-        self.looked_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= LOOK_AGAIN)
+    /// Returns whether the list of responsive nodes must be refreshed at `now`.
+    pub fn is_refresh_due(&self, now: Instant) -> bool {
+        self.refreshed_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= REFRESH_INTERVAL)
     }
 
-    /// Looks who of `all` nodes is heard, that is not silent for `silence`.
-    pub fn look(
+    /// Refreshes the list of responsive nodes from `heard`. A peer is responsive if its
+    /// last message is less than `silence` old. `node_count` is the number of all nodes,
+    /// responsive or not.
+    pub fn refresh(
         &mut self,
         heard: &HashMap<Arc<str>, Heard>,
-        all: usize,
+        node_count: usize,
         silence: Duration,
         now: Instant,
     ) {
-        self.looked_at = Some(now);
-        self.all = all;
-        let is_heard = |peer: &Heard| {
-            let believed_for = if peer.told { silence } else { NEWCOMER_SILENCE };
-            now.saturating_duration_since(peer.at) < believed_for
+        self.refreshed_at = Some(now);
+        self.node_count = node_count;
+        let is_responsive = |peer: &Heard| {
+            let timeout = if peer.told {
+                silence
+            } else {
+                UNSEEN_NODE_TIMEOUT
+            };
+            now.saturating_duration_since(peer.at) < timeout
         };
         let mut nodes: Vec<(Arc<str>, u32)> = heard
             .iter()
-            .filter(|(_, peer)| is_heard(peer))
+            .filter(|(_, peer)| is_responsive(peer))
             .map(|(name, peer)| (name.clone(), peer.capacity))
-            .chain([self.own.clone()])
+            .chain([self.this_node.clone()])
             .collect();
         nodes.sort();
         if nodes != self.nodes {
@@ -84,33 +91,34 @@
         }
     }
 
-    /// The part of all nodes that is heard.
-    pub fn share(&self) -> Share {
+    /// Returns how many of all nodes are responsive, including this one.
+    pub fn responsive_share(&self) -> Share {
         Share {
             heard: self.nodes.len(),
-            nodes: self.all,
+            nodes: self.node_count,
         }
     }
 
-    /// The owner of the limit of this name: of the machines with the fastest link, which
-    /// have more of everything as a rule, the one that the name picks.
-    pub fn of(&mut self, limit: &Arc<str>) -> Arc<str> {
+    /// Returns the owner of the limit of this name. The nodes with the fastest link,
+    /// which usually have most other resources too, share the limits by rendezvous
+    /// hashing of the name.
+    pub fn owner_of(&mut self, limit: &Arc<str>) -> Arc<str> {
         if let Some(owner) = self.owners.get(limit) {
             return owner.clone();
         }
-        let weight = |(name, capacity): &&(Arc<str>, u32)| (*capacity, rank(&**limit, &**name));
-        let best = self.nodes.iter().max_by_key(weight);
-        let owner = best.map_or(&self.own.0, |(name, _)| name).clone();
-        if self.owners.len() >= MOST_KEPT {
+        let preference = |(name, capacity): &&(Arc<str>, u32)| (*capacity, rank(&**limit, &**name));
+        let best = self.nodes.iter().max_by_key(preference);
+        let owner = best.map_or(&self.this_node.0, |(name, _)| name).clone();
+        if self.owners.len() >= MAXIMUM_CACHED {
             self.owners.clear();
         }
         self.owners.insert(limit.clone(), owner.clone());
         owner
     }
 
-    /// Whether this node is the owner of the limit of this name.
-    pub fn is_own(&mut self, limit: &Arc<str>) -> bool {
-        self.of(limit) == self.own.0
+    /// Returns whether this node is the owner of the limit of this name.
+    pub fn is_owner(&mut self, limit: &Arc<str>) -> bool {
+        self.owner_of(limit) == self.this_node.0
     }
 }
 
--- a/crates/gateway/src/quota/owners_tests.rs
+++ b/crates/gateway/src/quota/owners_tests.rs
@@ -15,10 +15,10 @@
     format!("node-{number}").into()
 }
 
-/// Who `node` hears: the nodes of `group`, `age` ago.
+/// Returns the peers of `group` as `node` sees them, with messages received `age` ago.
 fn heard(node: usize, group: &[usize], age: Duration) -> HashMap<Arc<str>, Heard> {
     let others = group.iter().filter(|other| **other != node);
-    let sign = |other: &usize| {
+    let last_seen = |other: &usize| {
         let heard = Heard {
             at: Instant::now() - age,
             told: true,
@@ -32,7 +32,7 @@
         };
         (name(*other), heard)
     };
-    others.map(sign).collect()
+    others.map(last_seen).collect()
 }
 
 fn owners(node: usize, group: &[usize], age: Duration) -> Owners {
@@ -42,7 +42,7 @@
         CAPACITY
     };
     let mut owners = Owners::of_node(name(node), capacity);
-    owners.look(&heard(node, group, age), NODES, SILENCE, Instant::now());
+    owners.refresh(&heard(node, group, age), NODES, SILENCE, Instant::now());
     owners
 }
 
@@ -51,9 +51,9 @@
     let all: Vec<usize> = (0..NODES).collect();
     for tenant in 0..40 {
         let tenant: Arc<str> = format!("tenant-{tenant}").into();
-        let picked = owners(0, &all, Duration::ZERO).of(&tenant);
+        let picked = owners(0, &all, Duration::ZERO).owner_of(&tenant);
         for node in 1..NODES {
-            assert_eq!(owners(node, &all, Duration::ZERO).of(&tenant), picked);
+            assert_eq!(owners(node, &all, Duration::ZERO).owner_of(&tenant), picked);
         }
         let number: usize = picked["node-".len()..].parse().expect("it is a node");
         assert!(number.is_multiple_of(10), "{picked} is a slow machine");
@@ -61,18 +61,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_node_is_no_owner() {
+async fn an_unresponsive_node_is_not_chosen_as_owner() {
     tokio::time::advance(2 * SILENCE).await;
     let tenant: Arc<str> = "tenant".into();
     let mut alone = owners(1, &[0, 1, 10, 20], SILENCE);
-    assert!(alone.is_own(&tenant));
-    assert_eq!(alone.share().heard, 1);
+    assert!(alone.is_owner(&tenant));
+    assert_eq!(alone.responsive_share().heard, 1);
 }
 
-/// Found on a day on which a machine was replaced: its entry outlived it in the
-/// store, and its successor took it for an owner.
+/// Guards against limits owned by a node that is gone: after a machine was replaced, its
+/// entry stayed in the store, and its replacement chose it as an owner.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_only_stands_in_the_store_is_soon_no_owner() {
+async fn a_node_known_only_from_the_store_soon_stops_being_an_owner() {
     tokio::time::advance(SILENCE).await;
     let tenant: Arc<str> = "tenant".into();
     let mut peers = heard(1, &[0], SILENCE / 2);
@@ -80,6 +80,6 @@
         peer.told = false;
     }
     let mut owners = Owners::of_node(name(1), CAPACITY);
-    owners.look(&peers, NODES, SILENCE, Instant::now());
-    assert!(owners.is_own(&tenant));
+    owners.refresh(&peers, NODES, SILENCE, Instant::now());
+    assert!(owners.is_owner(&tenant));
 }
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -1,4 +1,5 @@
-//! The task that asks the owners of limits, and answers as one.
+//! The quota task: asks limit owners for permits on behalf of this node, and answers
+//! peers for the limits that this node owns.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,30 +17,30 @@
 use crate::quota::owners::Owners;
 use crate::quota::{Command, QuotaDecision, QuotaInbox};
 
-/// Time for an answer before the request is sent once more: ten times what an
-/// exchange takes between zones.
-const ASKED_AGAIN_AFTER: Duration = Duration::from_millis(40);
-/// Tries from which on the reserve is used.
-const TRIES: u32 = 3;
-/// The same between later tries: a silent owner is replaced after a while.
-const LATER_TRIES_AFTER: Duration = Duration::from_millis(150);
+/// Time to wait for an owner's answer before the request is sent again: ten times a
+/// message exchange between zones.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Number of attempts after which the reserve is used.
+const ATTEMPTS_BEFORE_RESERVE: u32 = 3;
+/// Time between the attempts after those; an unresponsive owner is replaced meanwhile.
+const LATER_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between two looks for what is not asked about any more.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+/// Interval at which unused state is dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A request that waits for its owner's answer.
+/// A permit request of this node that has no decision yet.
 struct Pending {
     subject: Subject,
-    named: Option<RunnerLimit>,
+    announced_limit: Option<RunnerLimit>,
     cost: u64,
     once_for: Option<Arc<str>>,
-    tries: u32,
-    /// Until when it can wait.
-    until: Instant,
+    attempts: u32,
+    /// Time until which the request is retried while no owner answers and the reserve is used up.
+    deadline: Instant,
     reply: oneshot::Sender<QuotaDecision>,
 }
 
-/// The task.
+/// The state of the quota task.
 pub struct QuotaTask {
     context: Context,
     peers: PeerHandle,
@@ -47,15 +48,16 @@
     owner: QuotaOwner,
     ledger: QuotaLedger,
     pending: BTreeMap<u64, Pending>,
-    /// Requests in the order of their next tries; answered ones are passed over.
+    /// Times and numbers of pending requests, ordered by time. Entries of requests that
+    /// have been answered are skipped.
     retries: VecDeque<(Instant, u64)>,
-    numbers: u64,
-    forgotten_at: Instant,
+    last_number: u64,
+    cleaned_at: Instant,
     inbox: mpsc::UnboundedReceiver<Command>,
 }
 
 impl QuotaTask {
-    /// A task of the node with this context.
+    /// Creates the task of the node with this context.
     pub fn new(context: Context, peers: PeerHandle, inbox: QuotaInbox) -> Self {
         let nodes = context.dispatch.nodes();
         let started = context.started.into_std();
@@ -65,61 +67,62 @@
             ledger: QuotaLedger::new(context.settings.bounds.quota.window),
             pending: BTreeMap::new(),
             retries: VecDeque::new(),
-            numbers: 0,
-            forgotten_at: Instant::now(),
+            last_number: 0,
+            cleaned_at: Instant::now(),
             peers,
             context,
             inbox: inbox.0,
         }
     }
 
-    /// Runs until the process ends.
+    /// Handles commands, configuration changes and due retries until the process ends.
     pub async fn run(mut self) {
         loop {
             let next_retry = self.retries.front().map(|(at, _)| *at);
             tokio::select! {
                 command = self.inbox.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle(command),
                     None => return,
                 },
                 changed = self.context.routes.changed() => match changed {
-                    Ok(()) => self.forget_unused(),
+                    Ok(()) => self.drop_unused(),
                     Err(_) => return,
                 },
                 () = sleep_until(next_retry.unwrap_or_else(Instant::now)), if next_retry.is_some() => {
-                    self.try_again();
+                    self.retry_due();
                 }
             }
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Admit {
                 subject,
-                named,
+                announced_limit,
                 cost,
                 once_for,
                 patience,
                 reply,
             } => self.admit(Pending {
                 subject,
-                named,
+                announced_limit,
                 cost,
                 once_for,
-                tries: 0,
-                until: Instant::now() + patience,
+                attempts: 0,
+                deadline: Instant::now() + patience,
                 reply,
             }),
-            Command::GiveBack { subject, cost } => self.ledger.give_back(&subject, cost, now()),
-            Command::Asked(request) => self.asked(request),
-            Command::Answered { number, answer } => self.answered(number, answer),
+            Command::Refund { subject, cost } => self.ledger.give_back(&subject, cost, now()),
+            Command::PeerRequest(request) => self.answer_peer(request),
+            Command::OwnerAnswer { number, answer } => self.apply_answer(number, answer),
         }
     }
 
-    /// Forgets tenants that the configuration dropped, and what was not asked about lately.
-    fn forget_unused(&mut self) {
-        self.forgotten_at = Instant::now();
+    /// Drops the state of tenants that are no longer configured, and of runners and
+    /// requests that were not asked about recently.
+    fn drop_unused(&mut self) {
+        self.cleaned_at = Instant::now();
         let Some(table) = self.context.routes.borrow().clone() else {
             return;
         };
@@ -128,9 +131,9 @@
         self.ledger.retain(known, now());
     }
 
-    /// The limit over all nodes that `request` counts against; `None` if there is none,
-    /// or it is unknown.
-    fn limit(&self, request: &QuotaRequest) -> Option<QuotaLimit> {
+    /// Returns the cluster-wide limit that `request` counts against. `None` if the
+    /// subject has no limit, or the tenant is unknown to this node.
+    fn limit_for(&self, request: &QuotaRequest) -> Option<QuotaLimit> {
         let tenant = match &request.subject {
             Subject::Tenant(tenant) => tenant,
             Subject::Runner(_) => return request.named.map(QuotaLimit::of_runner),
@@ -142,61 +145,62 @@
         Some(QuotaLimit::new(&quota, bounds))
     }
 
-    fn look_at_nodes(&mut self) {
+    fn refresh_owners(&mut self) {
         let now = Instant::now();
-        if self.owners.is_due(now) {
+        if self.owners.is_refresh_due(now) {
             let nodes = self.context.dispatch.nodes();
             let heard = self.peers.heard();
             let silence = longest_silence(nodes);
             self.owners
-                .look(&heard.borrow(), nodes as usize, silence, now);
+                .refresh(&heard.borrow(), nodes as usize, silence, now);
         }
     }
 
     fn admit(&mut self, pending: Pending) {
-        if self.forgotten_at.elapsed() >= FORGET_EVERY {
-            self.forget_unused();
+        if self.cleaned_at.elapsed() >= CLEANUP_INTERVAL {
+            self.drop_unused();
         }
         let (subject, cost) = (&pending.subject, pending.cost);
         if self.ledger.take_unused(subject, cost, now()) {
-            // A caller that left needs no answer, here and below.
+            // A caller that has disconnected needs no answer, here and below.
             let _ = pending.reply.send(QuotaDecision::Granted);
             return;
         }
-        self.numbers += 1;
-        self.ask(self.numbers, pending);
+        self.last_number += 1;
+        self.send_to_owner(self.last_number, pending);
     }
 
-    /// Asks the owner of a pending request's limit, which may be this node.
-    fn ask(&mut self, number: u64, mut pending: Pending) {
-        self.look_at_nodes();
-        let owner = self.owners.of(&pending.subject.name());
+    /// Sends a pending request to the owner of its limit, or answers it directly if that
+    /// is this node.
+    fn send_to_owner(&mut self, number: u64, mut pending: Pending) {
+        self.refresh_owners();
+        let owner = self.owners.owner_of(&pending.subject.name());
         let request = QuotaRequest {
             number,
             node: self.context.settings.name.clone(),
             subject: pending.subject.clone(),
-            named: pending.named,
+            named: pending.announced_limit,
             cost: pending.cost,
             once_for: pending.once_for.clone(),
             elsewhere_ms: self.ledger.asks(&pending.subject, &owner, now()),
         };
-        pending.tries += 1;
+        pending.attempts += 1;
         self.pending.insert(number, pending);
         if owner == self.context.settings.name {
             let answer = self.answer(&request);
-            return self.answered(number, answer);
+            return self.apply_answer(number, answer);
         }
-        self.retry_later(number, ASKED_AGAIN_AFTER);
+        self.schedule_retry(number, RETRY_DELAY);
         self.peers.tell(owner, Message::QuotaRequest(request));
     }
 
-    fn retry_later(&mut self, number: u64, after: Duration) {
+    fn schedule_retry(&mut self, number: u64, after: Duration) {
         let at = Instant::now() + after;
-        let place = self.retries.partition_point(|(other, _)| *other <= at);
-        self.retries.insert(place, (at, number));
+        let position = self.retries.partition_point(|(other, _)| *other <= at);
+        self.retries.insert(position, (at, number));
     }
 
-    fn try_again(&mut self) {
+    fn retry_due(&mut self) {
         let now = Instant::now();
         while let Some((at, number)) = self.retries.front().copied()
             && at <= now
@@ -208,31 +212,31 @@
             if pending.reply.is_closed() {
                 continue;
             }
-            if pending.tries < TRIES {
-                self.ask(number, pending);
+            if pending.attempts < ATTEMPTS_BEFORE_RESERVE {
+                self.send_to_owner(number, pending);
             } else {
-                self.decide_alone(number, pending);
+                self.decide_by_reserve(number, pending);
             }
         }
     }
 
-    /// Goes by the reserve, since no owner answers; a request that can wait and
-    /// finds none there is tried again.
-    fn decide_alone(&mut self, number: u64, mut pending: Pending) {
-        let draw = rank(&self.numbers, &*self.context.settings.name) as f64 / u64::MAX as f64;
+    /// Decides a request by the reserve because no owner has answered. A request that the
+    /// reserve does not cover is retried while its patience lasts.
+    fn decide_by_reserve(&mut self, number: u64, mut pending: Pending) {
+        let draw = rank(&self.last_number, &*self.context.settings.name) as f64 / u64::MAX as f64;
         let granted = self
             .ledger
             .take_reserve(&pending.subject, pending.cost, draw, now());
-        let waits = Instant::now() + LATER_TRIES_AFTER < pending.until;
-        if !granted && waits {
-            pending.tries = TRIES - 1;
+        let may_wait = Instant::now() + LATER_RETRY_DELAY < pending.deadline;
+        if !granted && may_wait {
+            pending.attempts = ATTEMPTS_BEFORE_RESERVE - 1;
             self.pending.insert(number, pending);
-            return self.retry_later(number, LATER_TRIES_AFTER);
+            return self.schedule_retry(number, LATER_RETRY_DELAY);
         }
         tracing::info!(
             event = "quota_unanswered",
             subject = ?pending.subject,
-            owner = &*self.owners.of(&pending.subject.name()),
+            owner = &*self.owners.owner_of(&pending.subject.name()),
             cost = pending.cost,
             granted
         );
@@ -251,10 +255,10 @@
         let _ = pending.reply.send(decision);
     }
 
-    /// Another node asks this one.
-    fn asked(&mut self, request: QuotaRequest) {
-        self.look_at_nodes();
-        let answer = if self.owners.is_own(&request.subject.name()) {
+    /// Answers the request of a peer, or rejects it if this node does not own the limit.
+    fn answer_peer(&mut self, request: QuotaRequest) {
+        self.refresh_owners();
+        let answer = if self.owners.is_owner(&request.subject.name()) {
             self.answer(&request)
         } else {
             QuotaAnswer::NotOwner
@@ -265,14 +269,14 @@
     }
 
     fn answer(&mut self, request: &QuotaRequest) -> QuotaAnswer {
-        let Some(limit) = self.limit(request) else {
+        let Some(limit) = self.limit_for(request) else {
             return QuotaAnswer::NotOwner;
         };
         self.owner
-            .answer(request, limit, self.owners.share(), now())
+            .answer(request, limit, self.owners.responsive_share(), now())
     }
 
-    fn answered(&mut self, number: u64, answer: QuotaAnswer) {
+    fn apply_answer(&mut self, number: u64, answer: QuotaAnswer) {
         let Some(pending) = self.pending.remove(&number) else {
             return;
         };
@@ -282,7 +286,7 @@
                 let wait = Duration::from_millis(wait_ms.into());
                 (QuotaDecision::Denied(wait), reserve, "denied")
             }
-            QuotaAnswer::NotOwner => return self.decide_alone(number, pending),
+            QuotaAnswer::NotOwner => return self.decide_by_reserve(number, pending),
         };
         let label = match pending.subject {
             Subject::Tenant(_) => "owner",
