--- a/crates/gateway/src/crashes/mod.rs
+++ b/crates/gateway/src/crashes/mod.rs
@@ -1,10 +1,10 @@
-//! Requests that crash runners: found out at all nodes together, and sent to no runner for
-//! a while.
+//! Detects requests that crash runners, from the crashes seen by all nodes, and keeps
+//! them from being sent to any runner for a time (quarantine).
 //!
-//! When a connection to a runner breaks under a request, the task tells the runner's crash
-//! from a connection that broke alone. The owner of the request's limit ([`crate::quota`])
-//! counts the crashes that all nodes saw; a request that was part of too many is in
-//! quarantine, which nodes tell each other.
+//! When a connection to a runner breaks during a request, the task finds out whether the
+//! runner crashed or only the connection broke. The owner of the request's limit
+//! ([`crate::quota`]) counts the crashes seen by all nodes. A request involved in too
+//! many crashes is put in quarantine, and nodes send each other quarantine updates.
 
 mod task;
 
@@ -23,83 +23,86 @@
 /// A request whose connection to its runner broke.
 #[derive(Debug)]
 pub struct Broken {
-    /// Id of the caller's attempt.
+    /// Id of the caller's request, for the log.
     pub request: Arc<str>,
-    /// The request.
+    /// Fingerprint that identifies equal requests on all nodes.
     pub fingerprint: Fingerprint,
-    /// How far it had come.
+    /// How far the runner had processed the request.
     pub progress: Progress,
-    settled: Settling,
+    decision_sender: DecisionSender,
 }
 
-/// Dropped when it is known whether a request that lost its runner may be sent on.
-type Settling = oneshot::Sender<()>;
-/// Ends when that is known.
+/// Dropped when the decision on resending the request is known; the receiving end then
+/// completes.
+type DecisionSender = oneshot::Sender<()>;
+/// Completes, with an error, when the decision on resending the request is known.
 pub type Settled = oneshot::Receiver<()>;
 
 impl Broken {
-    /// A request that lost its runner, and a way to wait until it is known whether it may
-    /// be sent on.
+    /// Creates the record of a broken request, and a receiver that completes when the
+    /// decision on resending the request is known.
     pub fn new(request: Arc<str>, fingerprint: Fingerprint, progress: Progress) -> (Self, Settled) {
-        let (settled, known) = oneshot::channel();
+        let (decision_sender, decision_known) = oneshot::channel();
         let broken = Self {
             request,
             fingerprint,
             progress,
-            settled,
+            decision_sender,
         };
-        (broken, known)
+        (broken, decision_known)
     }
 }
 
 enum Command {
-    Broke(Arc<Runner>, Broken),
-    Probed(Arc<Runner>, bool),
-    Counted(Broken, QuotaDecision),
-    Served(Fingerprint),
-    Hear(Vec<QuarantineNews>),
+    ConnectionBroke(Arc<Runner>, Broken),
+    ProbeFinished(Arc<Runner>, bool),
+    CrashCounted(Broken, QuotaDecision),
+    RequestServed(Fingerprint),
+    QuarantineUpdate(Vec<QuarantineNews>),
 }
 
-/// A handle to the task.
+/// A handle to the crash task of this node; clones share the task.
 #[derive(Debug, Clone)]
 pub struct CrashHandle {
-    // Bounded by the attempts in flight and by what peers send: each command is carried
-    // out at once.
+    // Bounded by the attempts in flight and by the messages of peers: the task handles
+    // each command immediately.
     commands: mpsc::UnboundedSender<Command>,
     quarantine: watch::Receiver<Quarantine>,
 }
 
 impl CrashHandle {
-    /// The connection to `runner` broke under a request.
+    /// Reports that the connection to `runner` broke during a request.
     pub fn broke(&self, runner: Arc<Runner>, broken: Broken) {
-        self.send(Command::Broke(runner, broken));
+        self.send(Command::ConnectionBroke(runner, broken));
     }
 
-    /// `request` was answered well.
+    /// Reports that `request` was answered successfully, so that later crashes are not
+    /// attributed to it for a while.
     pub fn served(&self, request: Fingerprint) {
-        self.send(Command::Served(request));
+        self.send(Command::RequestServed(request));
     }
 
-    /// Takes in what another node tells of requests in quarantine.
-    pub fn hear(&self, news: Vec<QuarantineNews>) {
-        if !news.is_empty() {
-            self.send(Command::Hear(news));
+    /// Applies quarantine updates received from another node.
+    pub fn hear(&self, updates: Vec<QuarantineNews>) {
+        if !updates.is_empty() {
+            self.send(Command::QuarantineUpdate(updates));
         }
     }
 
-    /// How much longer `request` may be sent to no runner, if it is in quarantine.
+    /// Returns the remaining quarantine of `request`, or `None` if it may be sent to
+    /// runners.
     pub fn quarantined(&self, request: Fingerprint) -> Option<Duration> {
         let now = Instant::now().into_std();
         self.quarantine.borrow().left(request, now)
     }
 
-    /// Waits until `request` is in quarantine: for how long.
+    /// Waits until `request` is put in quarantine, and returns the remaining time.
     pub async fn until_quarantined(&self, request: Fingerprint) -> Duration {
         let mut quarantine = self.quarantine.clone();
         loop {
             quarantine.borrow_and_update();
-            if let Some(left) = self.quarantined(request) {
-                return left;
+            if let Some(remaining) = self.quarantined(request) {
+                return remaining;
             }
             if quarantine.changed().await.is_err() {
                 // The task ends only with the process.
@@ -108,21 +111,22 @@
         }
     }
 
-    /// The requests in quarantine, as they change.
+    /// Returns a receiver that is notified when the set of quarantined requests changes.
     pub fn quarantine(&self) -> watch::Receiver<Quarantine> {
         self.quarantine.clone()
     }
 
     fn send(&self, command: Command) {
-        // The task ends only with the process.
+        // The task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 }
 
-/// The receiving end of a [`CrashHandle`].
+/// The receiving end of a [`CrashHandle`], and the sender of the quarantine that the
+/// handle reads.
 pub struct CrashInbox(mpsc::UnboundedReceiver<Command>, watch::Sender<Quarantine>);
 
-/// Creates the handle; [`CrashTask::new`] takes the other end.
+/// Creates a handle and its receiving end, which [`CrashTask::new`] takes.
 pub fn channel() -> (CrashHandle, CrashInbox) {
     let (commands, inbox) = mpsc::unbounded_channel();
     let (sender, quarantine) = watch::channel(Quarantine::default());
--- a/crates/gateway/src/crashes/task.rs
+++ b/crates/gateway/src/crashes/task.rs
@@ -1,4 +1,5 @@
-//! The task that finds out about crashes and owns this node's quarantine.
+//! The crash task: distinguishes crashes from broken connections and maintains this
+//! node's quarantine.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,125 +16,132 @@
 use crate::quota::QuotaDecision;
 use crate::upstream::ConnectError;
 
-/// The task.
+/// The state of the crash task.
 pub struct CrashTask {
     context: Context,
     inbox: mpsc::UnboundedReceiver<Command>,
-    /// What broke at runners to which a connection is being tried, by runner.
-    probed: HashMap<Arc<str>, Vec<Broken>>,
-    served: RecentlyServed,
+    /// Broken requests at runners that are being probed with a new connection, by runner
+    /// id.
+    awaiting_probe: HashMap<Arc<str>, Vec<Broken>>,
+    recently_served: RecentlyServed,
     quarantine: watch::Sender<Quarantine>,
 }
 
 impl CrashTask {
-    /// A task of the node with this context.
+    /// Creates the task of the node with this context.
     pub fn new(context: Context, inbox: CrashInbox) -> Self {
         Self {
             context,
             inbox: inbox.0,
-            probed: HashMap::new(),
-            served: RecentlyServed::default(),
+            awaiting_probe: HashMap::new(),
+            recently_served: RecentlyServed::default(),
             quarantine: inbox.1,
         }
     }
 
-    /// Runs until the process ends.
+    /// Handles commands until the process ends.
     pub async fn run(mut self) {
         while let Some(command) = self.inbox.recv().await {
             match command {
-                Command::Broke(runner, broken) => self.broke(runner, broken),
-                Command::Probed(runner, crashed) => self.probed(&runner, crashed),
-                Command::Counted(broken, decision) => self.counted(broken, decision),
-                Command::Served(request) => self.served.add(request, now()),
-                Command::Hear(news) => self.hear(&news),
+                Command::ConnectionBroke(runner, broken) => self.connection_broke(runner, broken),
+                Command::ProbeFinished(runner, crashed) => self.probe_finished(&runner, crashed),
+                Command::CrashCounted(broken, decision) => self.crash_counted(broken, decision),
+                Command::RequestServed(request) => self.recently_served.add(request, now()),
+                Command::QuarantineUpdate(updates) => self.apply_updates(&updates),
             }
         }
     }
 
-    fn broke(&mut self, runner: Arc<Runner>, broken: Broken) {
-        let waiting = self.probed.entry(runner.id.clone()).or_default();
+    fn connection_broke(&mut self, runner: Arc<Runner>, broken: Broken) {
+        let waiting = self.awaiting_probe.entry(runner.id.clone()).or_default();
         waiting.push(broken);
         if waiting.len() == 1 {
             crate::tasks::spawn(probe(self.context.clone(), runner));
         }
     }
 
-    fn probed(&mut self, runner: &Runner, crashed: bool) {
-        for broken in self.probed.remove(&runner.id).unwrap_or_default() {
+    fn probe_finished(&mut self, runner: &Runner, crashed: bool) {
+        for broken in self.awaiting_probe.remove(&runner.id).unwrap_or_default() {
             let cause = if crashed { "crash" } else { "connection" };
             let progress = broken.progress.name();
             self.context.metrics.attempt_broke(progress, cause);
             if crashed {
-                self.crashed_under(broken, &runner.id);
+                self.count_crash(broken, &runner.id);
             }
         }
     }
 
-    /// Has a crash counted against the request that was at the runner. One that was
-    /// served lately is not what crashed it: many callers ask for the same.
-    fn crashed_under(&self, broken: Broken, runner: &Arc<str>) {
-        let served_lately = self.served.contains(broken.fingerprint, now());
+    /// Counts the crash of `runner` against the request. A request that was served
+    /// successfully a short while ago is not counted, because it is unlikely to be the
+    /// cause, and many callers send the same one.
+    fn count_crash(&self, broken: Broken, runner: &Arc<str>) {
+        let served_lately = self.recently_served.contains(broken.fingerprint, now());
         journal::runner_crashed(runner, &broken, served_lately);
         if !served_lately {
-            let count = count(self.context.clone(), broken, runner.clone());
-            crate::tasks::spawn(count);
+            let counting = count_at_owner(self.context.clone(), broken, runner.clone());
+            crate::tasks::spawn(counting);
         }
     }
 
-    /// A crash has been counted against a request, which may then be sent on or not.
-    fn counted(&self, broken: Broken, decision: QuotaDecision) {
-        if let QuotaDecision::Denied(left) = decision {
-            self.quarantine(broken.fingerprint, left);
+    /// Handles the limit owner's decision on a counted crash, then releases the request,
+    /// which may be resent unless it is in quarantine.
+    fn crash_counted(&self, broken: Broken, decision: QuotaDecision) {
+        if let QuotaDecision::Denied(remaining) = decision {
+            self.quarantine_request(broken.fingerprint, remaining);
         }
-        drop(broken.settled);
+        drop(broken.decision_sender);
     }
 
-    fn quarantine(&self, request: Fingerprint, left: Duration) {
+    fn quarantine_request(&self, request: Fingerprint, remaining: Duration) {
         let now = now();
-        let Some(until) = now.checked_add(left) else {
+        let Some(until) = now.checked_add(remaining) else {
             return;
         };
         let add = |quarantine: &mut Quarantine| quarantine.add(request, until, now);
         if self.quarantine.send_if_modified(add) {
-            journal::quarantined(request, left, "owner");
+            journal::quarantined(request, remaining, "owner");
         }
     }
 
-    fn hear(&self, news: &[QuarantineNews]) {
+    fn apply_updates(&self, updates: &[QuarantineNews]) {
         let now = now();
         let mut added = Vec::new();
         self.quarantine.send_if_modified(|quarantine| {
-            added = quarantine.hear(news, now);
+            added = quarantine.hear(updates, now);
             !added.is_empty()
         });
         for request in added {
-            let left = self.quarantine.borrow().left(request, now);
-            journal::quarantined(request, left.unwrap_or_default(), "node");
+            let remaining = self.quarantine.borrow().left(request, now);
+            journal::quarantined(request, remaining.unwrap_or_default(), "node");
         }
     }
 }
 
-/// Tries a new connection to `runner`: a crash closes the runner's port, too. Where
-/// nothing answers, or no connection of this node's share is left, the node cannot tell,
-/// and takes it that the runner lives: links fail more often than runners crash.
+/// Probes `runner` with a new connection: a crash closes the runner's port. Without an
+/// answer, or without a connection left in this node's share, the node assumes that the
+/// runner is alive, because links fail more often than runners crash.
 async fn probe(context: Context, runner: Arc<Runner>) {
     let crashed = match context.connect_anew(&runner, CONNECT_TIMEOUT).await {
         Ok(connection) => {
-            // It serves the next request.
+            // The connection is kept for the next request.
             context.pool.put_back(&runner.id, connection, None);
             false
         }
         Err(ConnectError::NoShareLeft | ConnectError::TimedOut) => false,
         Err(ConnectError::Refused(_)) => true,
     };
-    context.crashes.send(Command::Probed(runner, crashed));
+    context
+        .crashes
+        .send(Command::ProbeFinished(runner, crashed));
 }
 
-/// Has the crash of `runner` counted by the owner of the request's limit.
-async fn count(context: Context, broken: Broken, runner: Arc<str>) {
+/// Asks the owner of the request's limit to count the crash of `runner`.
+async fn count_at_owner(context: Context, broken: Broken, runner: Arc<str>) {
     let (request, weight) = (broken.fingerprint, broken.progress.weight());
     let decision = context.quota.admit_crash(request, weight, runner).await;
-    context.crashes.send(Command::Counted(broken, decision));
+    context
+        .crashes
+        .send(Command::CrashCounted(broken, decision));
 }
 
 fn now() -> std::time::Instant {
