--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -205,7 +205,7 @@
     }
 
     /// Adds the requests since the last step to the count of each model that has no
-    /// reachable replica, and drops the counts of the others.
+    /// reachable replica, and drops the count of each model that has one.
     fn count_unserved(
         &self,
         service: &Arc<str>,
@@ -352,7 +352,7 @@
             let runner = runner.id.clone();
             state
                 .store_loads
-                .start_load(runner, model.clone(), time_alone, plan.now);
+                .record_start(runner, model.clone(), time_alone, plan.now);
         }
         let model = model.clone();
         Some(OrderAction::LoadModel { model })
--- a/crates/loading/src/store_concurrency.rs
+++ b/crates/loading/src/store_concurrency.rs
@@ -34,7 +34,9 @@
 struct Load {
     model: Arc<str>,
     started_at: Instant,
+    /// Time that the load takes if no other load runs at the same time.
     time_alone: Duration,
+    /// Number of loads in progress when this one started, itself included.
     concurrent: usize,
 }
 
@@ -93,9 +95,9 @@
         self.longest_load = longest_load;
     }
 
-    /// Records the start of a load at `runner` that takes `alone` without concurrent
-    /// loads.
-    pub fn start_load(
+    /// Records that a load starts at `runner`, which takes `time_alone` if no other load
+    /// runs at the same time.
+    pub fn record_start(
         &mut self,
         runner: Arc<str>,
         model: Arc<str>,
--- a/crates/loading/src/store_concurrency_tests.rs
+++ b/crates/loading/src/store_concurrency_tests.rs
@@ -28,7 +28,7 @@
 ) -> usize {
     let mut started = 0;
     while store.allows_load(0) {
-        store.start_load(format!("{started}").into(), "model".into(), ALONE, *now);
+        store.record_start(format!("{started}").into(), "model".into(), ALONE, *now);
         started += 1;
     }
     *now += took(started);
@@ -61,7 +61,7 @@
 fn a_load_at_a_runner_that_is_gone_is_not_counted() {
     let (mut store, now) = store_and_now();
     while store.allows_load(0) {
-        store.start_load("gone".into(), "model".into(), ALONE, now);
+        store.record_start("gone".into(), "model".into(), ALONE, now);
         store.update(|_, _| None, now);
         if store.allows_load(3) {
             return;
@@ -103,7 +103,7 @@
     let mut now = since + Duration::from_secs(60);
     assert_eq!(run_wave(&mut store, &mut now, |_| long), 1);
     let mut alone = store_led_since(since, long);
-    alone.start_load("slow".into(), "model".into(), long, now);
+    alone.record_start("slow".into(), "model".into(), long, now);
     alone.update(|_, _| Some(true), now + long * 4);
     assert!(alone.allows_load(0) && !alone.allows_load(1));
 }
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -137,7 +137,7 @@
 
     /// Returns whether the order in progress unloads the model.
     pub fn unloads(&self, model: &str) -> bool {
-        matches!(&self.ordered, Some(OrderAction::UnloadModel { model: going }) if &**going == model)
+        matches!(&self.ordered, Some(OrderAction::UnloadModel { model: unloading }) if &**unloading == model)
     }
 
     /// Returns the fastest source from which the runner can load the model.
