--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,43 +1,44 @@
-//! Which runners that arrive get a line of their own in the log.
+//! Limits the log lines about new runners.
 //!
-//! A whole site that starts brings thousands within seconds, and every node hears of
-//! all of them: with a line for each, 985 nodes wrote ten million lines at one start.
+//! When a whole site starts, thousands of runners appear within seconds, and every node sees
+//! all of them. With a line for each, 985 nodes write ten million lines at one start.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Arrivals in [`SPELL`] that get lines of their own; enough to follow a release or a
-/// zone that comes back by parts.
-const TOLD: u32 = 20;
-/// Time in which arrivals are counted.
-const SPELL: Duration = Duration::from_secs(1);
+/// Number of new runners in each [`WINDOW`] that get a log line each. It is enough to follow
+/// a release, or a zone that comes back in parts.
+const LOGGED_PER_WINDOW: u32 = 20;
+/// Time over which new runners are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Counts arrivals.
+/// Counts new runners to limit their log lines.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    since: Option<Instant>,
+    window_start: Option<Instant>,
     count: u32,
 }
 
 impl Arrivals {
-    /// Whether an arrival at `now` gets its own line. Says first how many had none in
-    /// the spell before, once it is over.
+    /// Counts a runner that appears at `now`, and returns whether to log it. The first call
+    /// after a window logs how many runners of that window got no line.
     pub fn tells(&mut self, now: Instant) -> bool {
-        if self.since.is_none_or(|since| now - since >= SPELL) {
-            let without = self.without_line();
-            if without > 0 {
-                tracing::info!(event = "runners_arrived", besides_those_told = without);
+        if self.window_start.is_none_or(|start| now - start >= WINDOW) {
+            let suppressed = self.suppressed();
+            if suppressed > 0 {
+                tracing::info!(event = "runners_arrived", besides_those_told = suppressed);
             }
-            self.since = Some(now);
+            self.window_start = Some(now);
             self.count = 0;
         }
         self.count += 1;
-        self.count <= TOLD
+        self.count <= LOGGED_PER_WINDOW
     }
 
-    fn without_line(&self) -> u32 {
-        self.count.saturating_sub(TOLD)
+    /// Returns the number of runners in the current window that got no log line.
+    fn suppressed(&self) -> u32 {
+        self.count.saturating_sub(LOGGED_PER_WINDOW)
     }
 }
 
--- a/crates/gateway/src/arrivals_tests.rs
+++ b/crates/gateway/src/arrivals_tests.rs
@@ -1,13 +1,13 @@
 use tokio::time::Instant;
 
-use super::{Arrivals, SPELL, TOLD};
+use super::{Arrivals, LOGGED_PER_WINDOW, WINDOW};
 
 #[test]
 fn a_whole_site_that_starts_writes_few_lines() {
     let mut arrivals = Arrivals::default();
     let start = Instant::now();
-    let told = (0..10_000).filter(|_| arrivals.tells(start)).count();
-    assert_eq!(told as u32, TOLD);
-    assert_eq!(arrivals.without_line(), 10_000 - TOLD);
-    assert!(arrivals.tells(start + SPELL));
+    let logged = (0..10_000).filter(|_| arrivals.tells(start)).count();
+    assert_eq!(logged as u32, LOGGED_PER_WINDOW);
+    assert_eq!(arrivals.suppressed(), 10_000 - LOGGED_PER_WINDOW);
+    assert!(arrivals.tells(start + WINDOW));
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
-//! The gateway: takes callers' requests over HTTP, finds each a runner, relays
-//! the answer; follows the platform's store; and leads the placement of models
-//! while it holds the lease for that.
+//! The gateway: accepts callers' HTTP requests, chooses a runner for each and relays the
+//! answer. It keeps a copy of the platform's store current, and while it holds the placement
+//! lease it decides which models are loaded on which runners.
 
 mod admission;
 mod answers;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,5 @@
-//! Takes callers' connections and serves HTTP/1.1 on them.
+//! Accepts connections and serves HTTP/1.1 on them, for callers, readiness checks and
+//! metrics.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,23 +19,26 @@
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::network::{ByteStream, Listener};
 
-/// Pause after an error of the listening socket.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Smallest buffer that hyper takes for a head.
-const SMALLEST_HEAD: usize = 8 * 1024;
+/// Pause after an error of `accept`, such as a lack of descriptors.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
+/// Smallest buffer for a request's head that hyper accepts, in bytes.
+const MIN_HEAD_BYTES: usize = 8 * 1024;
 
 /// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerLimits {
-    /// Connections at once.
+    /// Number of connections that are open at the same time. Read once, at the start.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// Longest head of a request, in bytes.
     pub header_bytes: usize,
-    /// Time for a head to come, rest before it included, and for a caller to read on.
+    /// Longest time until the head of the next request is complete, and longest time for
+    /// which a caller may read nothing of an answer.
     pub idle_timeout: Duration,
 }
 
-/// Serves connections on `listener` with `handle` until the process ends.
+/// Accepts connections on `listener` and answers their requests with `handle`, until the
+/// process ends. `limits` is called for each connection. From the stage `Closing` on, a
+/// connection is closed when it is idle.
 pub async fn serve<Limits, Handle, Answer>(
     listener: Box<dyn Listener>,
     limits: Limits,
@@ -45,9 +49,9 @@
     Handle: Fn(Request<Incoming>) -> Answer + Clone + Send + Sync + 'static,
     Answer: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
-    let places = Arc::new(Semaphore::new(limits().connections));
+    let connection_permits = Arc::new(Semaphore::new(limits().connections));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
@@ -56,17 +60,18 @@
                 let (lifecycle, handle) = (lifecycle.clone(), handle.clone());
                 crate::tasks::spawn(async move {
                     serve_connection(stream, limits, lifecycle, handle).await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
                 tracing::warn!(%error, event = "accept_failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
             }
         }
     }
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve_connection<Handle, Answer>(
     stream: Box<dyn ByteStream>,
     limits: ListenerLimits,
@@ -83,8 +88,11 @@
     let connection = Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.header_bytes.max(SMALLEST_HEAD))
-        .serve_connection(TokioIo::new(read_on(stream, limits.idle_timeout)), service);
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BYTES))
+        .serve_connection(
+            TokioIo::new(with_write_timeout(stream, limits.idle_timeout)),
+            service,
+        );
     tokio::pin!(connection);
     tokio::select! {
         result = connection.as_mut() => return log_end(result),
@@ -93,14 +101,14 @@
     log_end(connection.await);
 }
 
-/// A connection that ends when its caller reads nothing of what is written to it for
-/// `longest_pause`: an answer would be kept for as long as the caller stays.
-fn read_on(
+/// Makes writes to `stream` fail after `write_timeout` without progress, so that a caller that
+/// reads nothing cannot keep an answer in memory for as long as it stays connected.
+fn with_write_timeout(
     stream: Box<dyn ByteStream>,
-    longest_pause: Duration,
+    write_timeout: Duration,
 ) -> Pin<Box<TimeoutStream<Box<dyn ByteStream>>>> {
     let mut stream = TimeoutStream::new(stream);
-    stream.set_write_timeout(Some(longest_pause));
+    stream.set_write_timeout(Some(write_timeout));
     Box::pin(stream)
 }
 
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, in MessagePack.
+//! Messages between nodes, encoded as MessagePack datagrams.
 
 use std::sync::Arc;
 
@@ -8,83 +8,86 @@
 
 use crate::peers::{LoadSum, MemberRecord};
 
-/// What each node tells on, whoever found it out.
+/// Updates on runners and requests that each node passes on, whether it made the
+/// observation itself or received it from another node.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct News {
-    /// What runners said of their limits.
+    /// Rate limits that runners advertised.
     pub limits: Vec<LimitNews>,
-    /// Runners that said that they leave.
+    /// Runners that signalled that they are draining.
     pub leaving: Vec<LeavingNews>,
-    /// Requests that are sent to no runner.
+    /// Requests that must not be sent to any runner, since they crash runners.
     pub quarantined: Vec<QuarantineNews>,
 }
 
-/// A message between nodes.
+/// A message from one node to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// Attempts of one node in flight: for all nodes, or for its relay.
+    /// Attempts in flight of one node. It goes to all nodes, or in large clusters only to
+    /// the node's relay.
     Load {
-        /// The sender.
+        /// Name of the sending node.
         node: Arc<str>,
-        /// What the sender tells of itself.
+        /// The sender's entry in the list of members.
         record: MemberRecord,
-        /// The counts, by runner.
+        /// The sender's attempts in flight, by runner.
         in_flight: Vec<(RunnerKey, u32)>,
-        /// What the sender knows.
+        /// Updates on runners and requests that the sender passes on.
         news: News,
     },
-    /// What a relay's nodes have in flight, for other relays.
+    /// Attempts in flight of all nodes behind one relay, sent to the other relays.
     RelaySum {
-        /// The relay.
+        /// Name of the sending relay.
         relay: Arc<str>,
-        /// The sum over its nodes.
+        /// Sum over the relay's nodes.
         sum: LoadSum,
-        /// What the relay knows.
+        /// Updates on runners and requests that the relay passes on.
         news: News,
     },
-    /// What all nodes have in flight, from a relay to its nodes.
+    /// Attempts in flight of all nodes, sent by a relay to its nodes.
     Fleet {
-        /// The relay.
+        /// Name of the sending relay.
         relay: Arc<str>,
-        /// The sum over all nodes.
+        /// Sum over the nodes of all relays.
         sum: LoadSum,
-        /// What the relay knows.
+        /// Updates on runners and requests that the relay passes on.
         news: News,
     },
-    /// Demand, for the placement leader.
+    /// One node's demand for models, sent to the placement leader.
     Demand {
-        /// The sender.
+        /// Name of the sending node.
         node: Arc<str>,
-        /// Its demand.
+        /// The sender's demand by model.
         items: Vec<DemandItem>,
-        /// Runners that it cannot reach.
+        /// Runners that the sender cannot reach.
         unreachable: Vec<RunnerKey>,
     },
-    /// What runners hold, from the placement leader.
+    /// Models and adapters that are loaded on runners, sent by the placement leader.
     Held {
-        /// The runners.
+        /// What is loaded and what is being changed by orders, one item for each runner.
         inventories: Vec<Inventory>,
-        /// Whether a relay has passed it on: it goes no further.
+        /// Whether a relay has forwarded the message already, so that the receiver does
+        /// not forward it again.
         passed_on: bool,
     },
-    /// A node asks the owner of a limit for a permit.
+    /// A node's request to a limit owner for a permit.
     QuotaRequest(QuotaRequest),
-    /// The owner's answer.
+    /// The limit owner's answer to a [`Message::QuotaRequest`].
     QuotaAnswer {
-        /// The asking node's number for it.
+        /// The number that the requesting node gave to its request.
         number: u64,
-        /// What it says.
+        /// Whether the permit is granted.
         answer: QuotaAnswer,
     },
 }
 
 impl Message {
-    /// The message's bytes.
+    /// Encodes the message for a datagram.
     pub fn encode(&self) -> Vec<u8> {
-        rmp_serde::to_vec(self).expect("messages have only plain data")
+        rmp_serde::to_vec(self).expect("messages contain only serializable data")
     }
 
-    /// Reads a message.
+    /// Decodes a message; `None` if `bytes` are not a message of this version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(bytes).ok()
     }
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -1,53 +1,55 @@
-//! One copy of each name that many runners' entries carry: services, zones, models.
+//! Interns the names that many runners' entries contain: services, zones, models, adapters.
 //!
-//! A node keeps an entry of every runner of the site. With a copy of each name in each
-//! entry, ten thousand of them take 2 MB more.
+//! A node keeps an entry for every runner of the site. With a separate copy of each name in
+//! each entry, ten thousand entries take 2 MB more.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
 use barleyspar_catalog::Runner;
 
-/// Names beyond twice those in use after which names out of use are forgotten.
-const SPARE: usize = 1024;
+/// Number of names, beyond twice those in use at the last cleanup, above which unused names
+/// are removed.
+const UNUSED_ALLOWANCE: usize = 1024;
 
-/// The names in use.
+/// The interned names.
 #[derive(Debug, Default)]
 pub struct Names {
-    known: HashSet<Arc<str>>,
-    in_use: usize,
+    interned: HashSet<Arc<str>>,
+    used_at_cleanup: usize,
 }
 
 impl Names {
-    /// Replaces the names in `runner` by the copies known, and gives back what its
-    /// lists hold in reserve.
+    /// Replaces the names in `runner` by their interned copies, and shrinks its lists to
+    /// their length.
     pub fn share(&mut self, runner: &mut Runner) {
-        self.share_name(&mut runner.service);
-        self.share_name(&mut runner.zone);
+        self.intern(&mut runner.service);
+        self.intern(&mut runner.zone);
         for held in &mut runner.models {
-            self.share_name(&mut held.model);
-            self.share_names(&mut held.adapters);
+            self.intern(&mut held.model);
+            self.intern_all(&mut held.adapters);
         }
         runner.models.shrink_to_fit();
-        self.share_names(&mut runner.copies.memory);
-        self.share_names(&mut runner.copies.disk);
+        self.intern_all(&mut runner.copies.memory);
+        self.intern_all(&mut runner.copies.disk);
     }
 
-    fn share_names(&mut self, names: &mut Vec<Arc<str>>) {
-        names.iter_mut().for_each(|name| self.share_name(name));
+    fn intern_all(&mut self, names: &mut Vec<Arc<str>>) {
+        names.iter_mut().for_each(|name| self.intern(name));
         names.shrink_to_fit();
     }
 
-    fn share_name(&mut self, name: &mut Arc<str>) {
-        if let Some(known) = self.known.get(name) {
-            *name = known.clone();
+    fn intern(&mut self, name: &mut Arc<str>) {
+        if let Some(interned) = self.interned.get(name) {
+            *name = interned.clone();
             return;
         }
-        if self.known.len() > 2 * self.in_use + SPARE {
-            self.known.retain(|known| Arc::strong_count(known) > 1);
-            self.in_use = self.known.len();
+        if self.interned.len() > 2 * self.used_at_cleanup + UNUSED_ALLOWANCE {
+            self.interned
+                .retain(|interned| Arc::strong_count(interned) > 1);
+            self.used_at_cleanup = self.interned.len();
         }
-        self.known.insert(name.clone());
+        self.interned.insert(name.clone());
     }
 }
 
--- a/crates/gateway/src/names_tests.rs
+++ b/crates/gateway/src/names_tests.rs
@@ -3,7 +3,7 @@
 
 use barleyspar_catalog::{HeldModel, Runner, RunnerState, WeightCopies};
 
-use super::{Names, SPARE};
+use super::{Names, UNUSED_ALLOWANCE};
 
 fn runner(number: usize, model: &str) -> Runner {
     let name: Arc<str> = format!("runner-{number}").into();
@@ -12,7 +12,7 @@
         name,
         born: None,
         service: "service".into(),
-        address: "10.0.0.1:80".parse().expect("it is an address"),
+        address: "10.0.0.1:80".parse().expect("the address is valid"),
         zone: "zone".into(),
         slots: 8,
         state: RunnerState::Available,
@@ -31,19 +31,23 @@
 #[test]
 fn runners_share_their_names() {
     let mut names = Names::default();
-    let (mut one, mut other) = (runner(1, "model"), runner(2, "model"));
-    names.share(&mut one);
-    names.share(&mut other);
-    assert!(Arc::ptr_eq(&one.service, &other.service));
-    assert!(Arc::ptr_eq(&one.models[0].model, &other.models[0].model));
-    assert_eq!(other, runner(2, "model"));
+    let (mut first, mut second) = (runner(1, "model"), runner(2, "model"));
+    names.share(&mut first);
+    names.share(&mut second);
+    assert!(Arc::ptr_eq(&first.service, &second.service));
+    assert!(Arc::ptr_eq(&first.models[0].model, &second.models[0].model));
+    assert_eq!(second, runner(2, "model"));
 }
 
 #[test]
 fn names_that_nobody_uses_are_forgotten() {
     let mut names = Names::default();
-    for number in 0..10 * SPARE {
+    for number in 0..10 * UNUSED_ALLOWANCE {
         names.share(&mut runner(number, &format!("model-{number}")));
     }
-    assert!(names.known.len() < 2 * SPARE, "{}", names.known.len());
+    assert!(
+        names.interned.len() < 2 * UNUSED_ALLOWANCE,
+        "{}",
+        names.interned.len()
+    );
 }
--- a/crates/gateway/src/network.rs
+++ b/crates/gateway/src/network.rs
@@ -1,5 +1,5 @@
-//! The network as a gateway sees it: streams, listeners, datagrams. Real
-//! sockets in production, memory in virtual-time runs.
+//! Interface of a gateway to the network: streams, listeners and datagrams. It is
+//! implemented by sockets in production and in memory for runs in virtual time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,75 +10,77 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// Time after which a peer that acknowledges nothing is given up.
+/// Time without an acknowledgement of sent bytes after which a connection is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time without a byte after which a peer is probed, and between two probes. With
-/// two probes a connection that went silent without a reset is given up after 3 s,
-/// before the sites' bound for a machine out of contact (3 to 4 s).
+/// Time without a byte from the peer after which it is probed, and time between two probes.
+/// With two probes, a connection that became unresponsive without a reset is closed after
+/// 3 s, before a site's limit for a machine that is out of contact (3 to 4 s).
 const KEEP_ALIVE_TIME: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a peer is given up.
+/// Number of unanswered probes after which a connection is closed.
 const KEEP_ALIVE_PROBES: u32 = 2;
 
-/// A stream of bytes in both directions.
+/// A connection: a stream of bytes in both directions.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin {
-    /// Has what was written and is not delivered yet thrown away when the stream is
-    /// dropped. Without this it goes out later, however long a link was cut.
+    /// Makes the stream discard bytes that are written but not delivered when it is
+    /// dropped. Without this they are still delivered later, however long a link was cut.
     fn discard_on_drop(&mut self);
 }
 
 impl ByteStream for TcpStream {
     fn discard_on_drop(&mut self) {
-        let set = SockRef::from(&*self).set_linger(Some(Duration::ZERO));
-        if let Err(error) = set {
+        let result = SockRef::from(&*self).set_linger(Some(Duration::ZERO));
+        if let Err(error) = result {
             tracing::warn!(event = "socket_option_refused", option = "linger", %error);
         }
     }
 }
 
-/// Takes connections.
+/// Accepts connections on one address.
 #[async_trait]
 pub trait Listener: Send + Sync {
-    /// The next connection.
+    /// Waits for the next connection and returns it.
     async fn accept(&self) -> io::Result<Box<dyn ByteStream>>;
 }
 
-/// Sends and receives datagrams.
+/// Sends and receives datagrams on one address.
 #[async_trait]
 pub trait Datagrams: Send + Sync {
-    /// Sends one; it may be lost.
+    /// Sends one datagram, which may be lost without an error.
     async fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
-    /// The next one that came, and its length.
+    /// Waits for the next datagram, writes it to `buffer` and returns its length.
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<usize>;
 }
 
-/// Opens connections and takes them.
+/// Opens connections, listeners and datagram sockets.
 #[async_trait]
 pub trait Network: Send + Sync {
-    /// Connects to `address`; takes as long as the network takes.
+    /// Connects to `address`. There is no timeout besides the network's own.
     async fn connect(&self, address: SocketAddr) -> io::Result<Box<dyn ByteStream>>;
-    /// Listens on `address`.
+    /// Opens a listener for connections on `address`.
     async fn listen(&self, address: SocketAddr) -> io::Result<Box<dyn Listener>>;
-    /// Opens `address` for datagrams.
+    /// Opens a datagram socket on `address`.
     async fn datagrams(&self, address: SocketAddr) -> io::Result<Box<dyn Datagrams>>;
 }
 
-/// The machine's own network.
+/// The network of the operating system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sockets;
 
-fn prepared(stream: TcpStream) -> Box<dyn ByteStream> {
-    prepare(&stream);
+/// Sets the options of a new connection's socket.
+fn configured(stream: TcpStream) -> Box<dyn ByteStream> {
+    set_options(&stream);
     Box::new(stream)
 }
 
-/// Has `stream` send at once, and notice a peer that is gone or silent.
-fn prepare(stream: &TcpStream) {
+/// Sets the socket options with which `stream` sends without delay and detects a peer that
+/// is gone or unresponsive.
+fn set_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE_TIME)
         .with_interval(KEEP_ALIVE_TIME)
         .with_retries(KEEP_ALIVE_PROBES);
-    let set = [
+    let results = [
         ("nodelay", stream.set_nodelay(true)),
         (
             "user_timeout",
@@ -86,8 +88,8 @@
         ),
         ("keep_alive", socket.set_tcp_keepalive(&keep_alive)),
     ];
-    // These only make things quicker; a stream without them still works.
-    for (option, result) in set {
+    // A stream works without these options too, only slower.
+    for (option, result) in results {
         if let Err(error) = result {
             tracing::debug!(event = "socket_option_refused", option, %error);
         }
@@ -97,7 +99,7 @@
 #[async_trait]
 impl Network for Sockets {
     async fn connect(&self, address: SocketAddr) -> io::Result<Box<dyn ByteStream>> {
-        TcpStream::connect(address).await.map(prepared)
+        TcpStream::connect(address).await.map(configured)
     }
 
     async fn listen(&self, address: SocketAddr) -> io::Result<Box<dyn Listener>> {
@@ -114,7 +116,7 @@
     async fn accept(&self) -> io::Result<Box<dyn ByteStream>> {
         TcpListener::accept(self)
             .await
-            .map(|(stream, _)| prepared(stream))
+            .map(|(stream, _)| configured(stream))
     }
 }
 
--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -1,5 +1,6 @@
-//! Spawning of a gateway's tasks, so that a run in virtual time can kill one
-//! gateway of several as a whole. In production all tasks end with the process.
+//! Spawns the tasks of a gateway in a group, so that a run in virtual time with several
+//! gateways in one process can end all tasks of one of them at once. In production there is
+//! no group, and all tasks end with the process.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,14 +12,15 @@
     static GROUP: TaskGroup;
 }
 
-/// Tasks that end together.
+/// A group of tasks that can be ended together.
 #[derive(Debug, Clone, Default)]
 pub struct TaskGroup {
     tasks: Arc<Mutex<Vec<AbortHandle>>>,
 }
 
 impl TaskGroup {
-    /// Runs `future` and all that it spawns within the group.
+    /// Spawns `future` in the group. All tasks that it spawns with [`spawn`] belong to the
+    /// group too.
     pub fn spawn<Work>(&self, future: Work)
     where
         Work: Future<Output = ()> + Send + 'static,
@@ -27,12 +29,13 @@
         self.add(task.abort_handle());
     }
 
-    /// Ends all tasks at once.
+    /// Aborts all tasks of the group.
     pub fn kill(&self) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.drain(..).for_each(|task| task.abort());
     }
 
+    /// Adds a task, and removes the finished ones.
     fn add(&self, task: AbortHandle) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.retain(|task| !task.is_finished());
@@ -40,7 +43,7 @@
     }
 }
 
-/// Spawns a task, within the current group if there is one.
+/// Spawns a task in the group of the current task, if that belongs to one.
 pub fn spawn<Work>(future: Work) -> JoinHandle<Work::Output>
 where
     Work: Future + Send + 'static,
@@ -56,7 +59,7 @@
     }
 }
 
-/// Waits until `at`; for ever if there is no such time.
+/// Waits until `at`; for `None` it never returns.
 pub async fn sleep_until_some(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/turns.rs
@@ -1,4 +1,5 @@
-//! The order in which nodes try what one of them is to do.
+//! Staggered delays for actions of which one node is enough, such as taking the lease: nodes
+//! try in order, so that those behind the first see its success and need not try.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,20 +9,22 @@
 use crate::feed::{Myself, position};
 use crate::peers::{Heard, longest_silence};
 
-/// Pause for each better placed node.
-const RANK_PAUSE: Duration = Duration::from_millis(120);
-/// Best places that wait for each other in full: one of these does it unless all are gone
-/// at once.
-const FIRST_RANKS: usize = 12;
-/// Pause for each further place. Among hundreds of nodes what one has done is known to all
-/// a second later; each of those that may try within it makes its calls in vain.
-const LATER_RANK_PAUSE: Duration = Duration::from_millis(40);
+/// Delay for each node ahead in the order, up to [`FIRST_POSITIONS`] nodes.
+const POSITION_DELAY: Duration = Duration::from_millis(120);
+/// Number of first positions with the full delay between them. One of these nodes acts,
+/// unless all of them are gone at once.
+const FIRST_POSITIONS: usize = 12;
+/// Delay for each node ahead beyond [`FIRST_POSITIONS`]. In a cluster of hundreds of nodes it
+/// takes a second until all know that one has acted; each node that tries within this time
+/// makes its calls in vain.
+const LATER_POSITION_DELAY: Duration = Duration::from_millis(40);
 
-/// Time until it is this node's turn: nodes on larger machines come first.
+/// Returns the time that this node waits before it tries. `heard`: the other nodes and when
+/// they were last seen. Nodes with a faster link come first; unresponsive nodes don't count.
 pub fn pause_until_turn(context: &Context, heard: &HashMap<Arc<str>, Heard>) -> Duration {
     let silence = longest_silence(context.dispatch.nodes());
     let myself = Myself::of(&context.settings);
-    let place = position(&myself, heard, silence);
-    let later = place.saturating_sub(FIRST_RANKS) as u32;
-    RANK_PAUSE * place.min(FIRST_RANKS) as u32 + LATER_RANK_PAUSE * later
+    let nodes_ahead = position(&myself, heard, silence);
+    let beyond_first = nodes_ahead.saturating_sub(FIRST_POSITIONS) as u32;
+    POSITION_DELAY * nodes_ahead.min(FIRST_POSITIONS) as u32 + LATER_POSITION_DELAY * beyond_first
 }
