--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,4 +1,5 @@
-//! Takes a request in: finds its route and tenant, reserves memory, reads its body.
+//! Admits a request: finds its route and tenant, charges the tenant's quota, reserves
+//! memory and reads the body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,24 +24,25 @@
 use crate::quota::{Charge, QuotaDecision};
 use crate::trust;
 
-/// Time a request is held where neither client nor route says.
-const USUAL_DEADLINE: Duration = Duration::from_secs(60);
-/// Time for a client to send its body.
+/// Time allowed to a request for which neither the client nor the route names one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time allowed to a client to send the body of its request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back to a node that knows no configuration yet.
+/// Retry-After of a node that has started lately and has no configuration yet.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Age of a process at which it knows one, unless the store does not serve.
+/// Age of a process by which it has a configuration, unless the store is unreachable.
 const USUALLY_CONFIGURED_AFTER: Duration = Duration::from_millis(150);
-/// When to come back to a node that the store does not serve.
-const STORELESS_RETRY_AFTER: Duration = Duration::from_millis(1500);
-/// Time that a request without a stream usually takes at most.
-const LONGEST_PLAIN_REQUEST: Duration = Duration::from_millis(1500);
+/// Retry-After of a node that has no configuration since the store is unreachable.
+const STORE_UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(1500);
+/// Upper bound of the usual duration of a request that is not a stream.
+const USUAL_MAX_DURATION: Duration = Duration::from_millis(1500);
 
-/// Part of its target latency for which a request waits to hear whether its
-/// tenant is within its limit: half is left to serve it in time.
-const QUOTA_PATIENCE_PART: u32 = 2;
+/// Divisor of the route's target latency that gives the longest wait for a quota decision.
+/// The other half of the target latency is left to serve the request.
+const QUOTA_PATIENCE_DIVISOR: u32 = 2;
 
-/// Finds the request's route and reads its body.
+/// Admits a request and reads its body. Returns the answer for the client if the request
+/// cannot be admitted.
 pub async fn admit(
     context: &Context,
     head: request::Parts,
@@ -52,7 +54,7 @@
     let Some(table) = table else {
         return Err(OwnAnswer::refused(
             "no_configuration",
-            configured_after(context.started.elapsed()),
+            retry_after_unconfigured(context.started.elapsed()),
         ));
     };
     let route = table
@@ -60,7 +62,7 @@
         .cloned()
         .ok_or(OwnAnswer::rejected(StatusCode::NOT_FOUND, "no_route"))?;
     let configuration = table.configuration();
-    if !ends_in_time(context, &route) {
+    if !ends_before_process(context, &route) {
         return Err(OwnAnswer::refused("stopping", STOPPING_RETRY_AFTER));
     }
     let credential = facts.credential.as_ref();
@@ -68,13 +70,13 @@
         journal::denied(context, &facts, &route, denial);
         OwnAnswer::denied(denial)
     })?;
-    let charge = charge(context, &facts, &route, tenant.as_ref()).await?;
+    let charge = charge_quota(context, &facts, &route, tenant.as_ref()).await?;
     let memory = reserve_memory(context, &body, configuration.limits.body_bytes)?;
     let body = read_body(body, configuration.limits.body_bytes).await?;
-    let service = context.dispatch.split(&route).await;
-    let deadline = received + time_allowed(&facts, &route);
+    let service = context.dispatch.choose_service(&route).await;
+    let deadline = received + allowed_time(&facts, &route);
     let version = configuration.version;
-    let outgoing = outgoing(context, head, body, &facts, memory);
+    let outgoing = build_outgoing(context, head, body, &facts, memory);
     let exchange = Exchange::new(
         context.clone(),
         Admitted {
@@ -88,64 +90,69 @@
         received,
         deadline,
     );
-    exchange.tell_accepted(version);
+    exchange.log_accepted(version);
     Ok(exchange)
 }
 
-/// Asks for a permit to take the request from its tenant, if that has a limit.
-async fn charge(
+/// Charges the request's cost to its tenant's quota. Returns `None` if there is no tenant
+/// or the tenant has no quota.
+async fn charge_quota(
     context: &Context,
     facts: &RequestFacts,
     route: &Route,
     tenant: Option<&Arc<Tenant>>,
 ) -> Result<Option<Charge>, OwnAnswer> {
-    let limited = tenant.and_then(|tenant| Some((tenant, tenant.quota?)));
-    let Some((tenant, quota)) = limited else {
+    let tenant_quota = tenant.and_then(|tenant| Some((tenant, tenant.quota?)));
+    let Some((tenant, quota)) = tenant_quota else {
         return Ok(None);
     };
     let cost = cost(quota.unit, facts);
     let name = tenant.name.clone();
-    let patience = route.target_latency.unwrap_or_default() / QUOTA_PATIENCE_PART;
+    let patience = route.target_latency.unwrap_or_default() / QUOTA_PATIENCE_DIVISOR;
     let decision = context.quota.admit(name.clone(), cost, patience).await;
     match decision {
         QuotaDecision::Granted => Ok(Some(Charge::new(context.quota.clone(), name, cost))),
         QuotaDecision::Denied(wait) => {
-            journal::limited(facts, tenant, cost, wait);
-            Err(OwnAnswer::limited(wait))
+            journal::over_quota(facts, tenant, cost, wait);
+            Err(OwnAnswer::over_quota(wait))
         }
         QuotaDecision::Unknown => Err(OwnAnswer::refused("quota_unknown", REJECTED_RETRY_AFTER)),
     }
 }
 
-/// When a process of this age is expected to know a configuration.
-fn configured_after(age: Duration) -> Duration {
+/// Returns the Retry-After of a process without a configuration that has run for `age`.
+fn retry_after_unconfigured(age: Duration) -> Duration {
     if age < USUALLY_CONFIGURED_AFTER {
         STARTING_RETRY_AFTER
     } else {
-        STORELESS_RETRY_AFTER
+        STORE_UNREACHABLE_RETRY_AFTER
     }
 }
 
-/// Whether a request that comes now ends before the process does.
-fn ends_in_time(context: &Context, route: &Route) -> bool {
+/// Returns whether a request that arrives now is expected to end before the process is
+/// stopped.
+fn ends_before_process(context: &Context, route: &Route) -> bool {
     if context.lifecycle.stage() < Stage::Closing {
         return true;
     }
-    let left = context.lifecycle.time_left();
+    let remaining = context.lifecycle.remaining_time();
     route.kind != RequestKind::Streaming
-        && left
+        && remaining
             > route
                 .timeout
-                .unwrap_or(USUAL_DEADLINE)
-                .min(LONGEST_PLAIN_REQUEST)
+                .unwrap_or(DEFAULT_TIMEOUT)
+                .min(USUAL_MAX_DURATION)
 }
 
-fn time_allowed(facts: &RequestFacts, route: &Route) -> Duration {
-    let by_client = facts.deadline.unwrap_or(USUAL_DEADLINE);
-    by_client.min(route.timeout.unwrap_or(USUAL_DEADLINE))
+/// Returns the time from a request's arrival to its deadline: the shorter one of the
+/// client's and the route's.
+fn allowed_time(facts: &RequestFacts, route: &Route) -> Duration {
+    let client_timeout = facts.deadline.unwrap_or(DEFAULT_TIMEOUT);
+    client_timeout.min(route.timeout.unwrap_or(DEFAULT_TIMEOUT))
 }
 
-/// The host that a request names.
+/// Returns the host that the request is for, from its Host header or else its target;
+/// empty if it names none.
 fn host(head: &request::Parts) -> &str {
     head.headers
         .get(HOST)
@@ -154,15 +161,16 @@
         .unwrap_or_default()
 }
 
-fn outgoing(
+/// Builds the request as it is sent to runners, with only the headers that callers own.
+fn build_outgoing(
     context: &Context,
     head: request::Parts,
     body: Bytes,
     facts: &RequestFacts,
     memory: OwnedSemaphorePermit,
 ) -> Outgoing {
-    let asked = head.uri.path_and_query().map_or("", |asked| asked.as_str());
-    let fingerprint = Fingerprint::of(host(&head), asked, facts.credential.as_ref(), &body);
+    let path = head.uri.path_and_query().map_or("", |path| path.as_str());
+    let fingerprint = Fingerprint::of(host(&head), path, facts.credential.as_ref(), &body);
     let target = head
         .uri
         .path_and_query()
@@ -171,7 +179,7 @@
     Outgoing {
         method: head.method,
         target,
-        headers: trust::to_runner(|name| context.dialect.header_owner(name), &head.headers),
+        headers: trust::headers_to_runner(|name| context.dialect.header_owner(name), &head.headers),
         body,
         request_id: facts.request_id.clone(),
         fingerprint,
@@ -179,7 +187,8 @@
     }
 }
 
-/// Sets memory aside for a body: what it says it needs, or what it may need.
+/// Reserves memory for a body of at most `limit` bytes: its declared length, or `limit`
+/// if it declares none. The reservation ends when the returned permit is dropped.
 fn reserve_memory(
     context: &Context,
     body: &Incoming,
@@ -200,6 +209,7 @@
         .map_err(|_| OwnAnswer::refused("body_memory", REJECTED_RETRY_AFTER))
 }
 
+/// Reads the complete body, of at most `limit` bytes.
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, OwnAnswer> {
     let collected = timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
     match collected {
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own.
+//! Answers that the gateway gives by itself, without a runner's.
 
 use std::time::Duration;
 
@@ -11,29 +11,31 @@
 use crate::context::Context;
 use crate::lifecycle::Stage;
 
-/// When to come back to a node that is being stopped: to another one, at once.
+/// Retry-After of a node that is being stopped. It is short, since another node can serve
+/// the request at once.
 pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// When to come back after runners rejected the request.
+/// Retry-After of a request that runners rejected, or for which a resource of this node
+/// was short.
 pub const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// When to come back to a node whose knowledge of credentials is too old. It asks
-/// the store and its peers twice a second; another node may know already.
-const KNOWN_AGAIN_AFTER: Duration = Duration::from_millis(500);
+/// Retry-After of a node whose view of the credentials is too stale. It asks the store and
+/// its peers twice a second, and another node may have a current view.
+const STALE_VIEW_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// An answer of the system's own.
+/// An answer that the gateway gives by itself, without a runner's.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnAnswer {
-    /// Its status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Whether the request may have run.
+    /// Whether the request may have run, which the client is told in the body.
     pub verdict: Verdict,
-    /// Why.
+    /// Name of the reason, for the body, the log and the metrics.
     pub reason: &'static str,
-    /// When the client may come back.
+    /// Time after which a retry by the client makes sense; `None` sends no Retry-After.
     pub retry_after: Option<Duration>,
 }
 
 impl OwnAnswer {
-    /// The request did not run; come back later.
+    /// The request did not run and may be retried after `retry_after`: status 503.
     pub fn refused(reason: &'static str, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -43,8 +45,9 @@
         }
     }
 
-    /// The caller's tenant is over its limit; it is within it after this time.
-    pub fn limited(retry_after: Duration) -> Self {
+    /// The tenant's quota does not cover the request until `retry_after` has passed: status
+    /// 429.
+    pub fn over_quota(retry_after: Duration) -> Self {
         Self {
             status: StatusCode::TOO_MANY_REQUESTS,
             verdict: Verdict::NotRun,
@@ -53,15 +56,15 @@
         }
     }
 
-    /// The caller's credential does not allow the request.
+    /// The credential does not allow the request, or this node's view is too stale to know.
     pub fn denied(denial: Denial) -> Self {
         match denial {
             Denial::Unknown => Self::rejected(StatusCode::UNAUTHORIZED, "credential_unknown"),
-            Denial::OldKnowledge => Self::refused("old_knowledge", KNOWN_AGAIN_AFTER),
+            Denial::OldKnowledge => Self::refused("old_knowledge", STALE_VIEW_RETRY_AFTER),
         }
     }
 
-    /// The request did not run and cannot.
+    /// The request did not run and would fail in the same way if it were retried.
     pub fn rejected(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The request may have run.
+    /// The request ran or may have run, as `verdict` says, but there is no usable answer.
     pub fn failed(status: StatusCode, verdict: Verdict, reason: &'static str) -> Self {
         Self {
             status,
@@ -81,7 +84,8 @@
         }
     }
 
-    /// The answer as it goes to the client.
+    /// Builds the HTTP response for the client. `request_id`: the id of the client's
+    /// attempt, which is sent back.
     pub fn into_response(
         self,
         context: &Context,
@@ -108,7 +112,8 @@
     }
 }
 
-/// Tells the client to use another connection if the process is being stopped.
+/// Asks the client to close its connection after `response` if the process is being
+/// stopped.
 pub fn close_if_draining(context: &Context, response: &mut Response<AnswerBody>) {
     if context.lifecycle.stage() >= Stage::Draining {
         response
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one runner, up to the head of its answer.
+//! Sends a request to one runner and reads the head of the answer.
 
 use std::time::Duration;
 
@@ -17,58 +17,61 @@
 use crate::notices::{self, Heard};
 use crate::upstream::{ConnectError, Connection};
 
-/// A request as it is sent to runners.
+/// A caller's request as it is sent to runners, the same for each attempt.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// The client's method.
+    /// Method of the client's request.
     pub method: Method,
-    /// The client's path and query.
+    /// Path and query of the client's request.
     pub target: Uri,
-    /// The client's headers, those only that are its own to set.
+    /// The headers of the client's request that callers may set; those that belong to the
+    /// gateway, runners or the connection are dropped.
     pub headers: HeaderMap,
-    /// The client's body.
+    /// Body of the client's request, unchanged.
     pub body: Bytes,
-    /// Id of the client's attempt.
+    /// Id that the client gave to this attempt of its own; `None` if it gave none.
     pub request_id: Option<String>,
-    /// What it has in common with the caller's other tries.
+    /// Identifies the request across the caller's retries: equal for the same host, path,
+    /// credential and body.
     pub fingerprint: Fingerprint,
-    /// The memory set aside for the body.
+    /// Reservation of the memory that the body takes; released when it is dropped.
     pub _memory: OwnedSemaphorePermit,
 }
 
-/// An attempt that got the head of an answer.
+/// An attempt that received the head of an answer. The body is still to be read.
 #[derive(Debug)]
 pub struct Answered {
-    /// The attempt's permit.
+    /// Permit of the attempt; to be finished when the outcome is known.
     pub permit: Permit,
-    /// The connection on which the body comes.
+    /// The connection on which the body arrives.
     pub connection: Connection,
-    /// Status of the answer.
+    /// Status of the runner's answer.
     pub status: StatusCode,
-    /// Headers of the answer.
+    /// Headers of the runner's answer, unfiltered.
     pub headers: HeaderMap,
-    /// What the head says.
+    /// Values read from the head by the platform's dialect.
     pub facts: AnswerFacts,
-    /// The body.
+    /// Body of the runner's answer.
     pub body: Incoming,
-    /// Time until the head came.
+    /// Time from sending the request to the head of the answer.
     pub waited: Duration,
 }
 
-/// An attempt that got none.
+/// An attempt that ended without the head of an answer.
 #[derive(Debug)]
 pub struct AttemptError {
-    /// Whether the request may have run.
+    /// Whether the request may have run at the runner.
     pub verdict: Verdict,
-    /// Whether any byte of it left.
+    /// Whether any byte of the request was written to the socket.
     pub sent: bool,
-    /// What it says of the runner.
+    /// Outcome that is reported to the dispatcher for the runner.
     pub outcome: Outcome,
-    /// What happened.
+    /// Description of the failure for the log.
     pub cause: String,
 }
 
 impl AttemptError {
+    /// No byte of the request was written, so it did not run.
     fn unsent(outcome: Outcome, cause: String) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -78,7 +81,8 @@
         }
     }
 
-    fn unknown(failure: Failure, cause: String) -> Self {
+    /// The request was sent at least in part, so it may have run.
+    fn may_have_run(failure: Failure, cause: String) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
             sent: true,
@@ -88,16 +92,16 @@
     }
 }
 
-/// Sends `outgoing` to the permit's runner and waits for the head of the answer
-/// until `patience`. An error gives the permit back.
+/// Sends `outgoing` to the permit's runner and waits for the head of the answer until
+/// `head_deadline`. On an error, the permit is finished with the error's outcome.
 pub async fn attempt(
     context: &Context,
     permit: Permit,
     outgoing: &Outgoing,
     forward: Forward,
-    patience: Instant,
+    head_deadline: Instant,
 ) -> Result<Answered, AttemptError> {
-    match attempt_with(context, &permit, outgoing, forward, patience).await {
+    match exchange_heads(context, &permit, outgoing, forward, head_deadline).await {
         Ok(parts) => {
             context.metrics.attempt_ended("head", "answered");
             let (connection, head, facts, body, waited) = parts;
@@ -121,6 +125,7 @@
     }
 }
 
+/// Connection, head, values read from the head, body, and time until the head.
 type HeadParts = (
     Connection,
     http::response::Parts,
@@ -129,76 +134,81 @@
     Duration,
 );
 
-async fn attempt_with(
+/// Connects to the permit's runner, sends the request and checks the head of the answer.
+async fn exchange_heads(
     context: &Context,
     permit: &Permit,
     outgoing: &Outgoing,
     forward: Forward,
-    patience: Instant,
+    head_deadline: Instant,
 ) -> Result<HeadParts, AttemptError> {
-    let mut connection = connect(context, permit.runner(), patience).await?;
-    if !permit.is_open() {
-        let cause = "the runner began to leave".to_owned();
+    let mut connection = connect(context, permit.runner(), head_deadline).await?;
+    if !permit.runner_accepts_work() {
+        let cause = "the runner started to drain".to_owned();
         return Err(AttemptError::unsent(Outcome::Abandoned, cause));
     }
-    let request = build(context, outgoing, forward);
+    let request = build_request(context, outgoing, forward);
     let sent_at = Instant::now();
-    let answer = timeout_at(patience, connection.send(request)).await;
+    let answer = timeout_at(head_deadline, connection.send(request)).await;
     let waited = sent_at.elapsed();
     let response = match answer {
         Err(_) => {
-            let cause = "no head of an answer in time".to_owned();
-            return Err(AttemptError::unknown(Failure::Silent, cause));
+            let cause = "timed out waiting for the head of the answer".to_owned();
+            return Err(AttemptError::may_have_run(Failure::Silent, cause));
         }
         Ok(Err(error)) if !error.sent => {
             return Err(AttemptError::unsent(
                 Outcome::Abandoned,
-                format!("connection closed before the request: {}", error.cause),
+                format!(
+                    "connection closed before the request was sent: {}",
+                    error.cause
+                ),
             ));
         }
-        Ok(Err(error)) => return Err(AttemptError::unknown(Failure::Broken, error.cause)),
+        Ok(Err(error)) => return Err(AttemptError::may_have_run(Failure::Broken, error.cause)),
         Ok(Ok(response)) => response,
     };
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
     check_head(&head, &facts, outgoing)?;
-    let heard = Heard {
+    let runner_answer = Heard {
         asked: permit.runner(),
         call: "request",
         sent_at,
-        always_limited: permit.is_limited(),
+        always_limited: permit.runner_is_limited(),
     };
-    notices::hear(context, &heard, head.status, &facts);
+    notices::hear(context, &runner_answer, head.status, &facts);
     Ok((connection, head, facts, body, waited))
 }
 
-/// Refuses a head that cannot be the answer to this request.
+/// Returns an error for a head that cannot be a runner's answer to this request.
 fn check_head(
     head: &http::response::Parts,
     facts: &AnswerFacts,
     outgoing: &Outgoing,
 ) -> Result<(), AttemptError> {
-    let foreign = match (&facts.request_id, &outgoing.request_id) {
-        (Some(answered), Some(asked)) => answered != asked,
+    let is_for_other_request = match (&facts.request_id, &outgoing.request_id) {
+        (Some(answered), Some(sent)) => answered != sent,
         _ => false,
     };
-    let broken = |cause: &str| AttemptError::unknown(Failure::Broken, cause.to_owned());
-    if foreign {
-        return Err(broken("the answer belongs to another request"));
+    let broken = |cause: &str| AttemptError::may_have_run(Failure::Broken, cause.to_owned());
+    if is_for_other_request {
+        return Err(broken("the answer has the id of another request"));
     }
     if head.status.is_success() && !facts.signed {
-        return Err(broken("the success is not signed"));
+        return Err(broken("the answer has a success status but no signature"));
     }
     if facts.encoded {
-        return Err(broken("the body is encoded"));
+        return Err(broken("the answer's body has a content encoding"));
     }
     Ok(())
 }
 
-/// What it says of its runner that `answered` says that the request did not run.
-pub fn rejection(answered: &Answered) -> Outcome {
+/// Returns the outcome of an attempt that the runner rejected without running the
+/// request.
+pub fn rejection_outcome(answered: &Answered) -> Outcome {
     if answered.status == StatusCode::MISDIRECTED_REQUEST {
-        misdirected(answered)
+        misdirected_outcome(answered)
     } else if answered.facts.notice.pause.is_some() {
         Outcome::Paused
     } else {
@@ -206,21 +216,26 @@
     }
 }
 
-fn misdirected(answered: &Answered) -> Outcome {
-    let asked = &answered.permit.runner().name;
+/// Returns the outcome of an attempt that got the status 421: another runner answered, or
+/// the runner does not have the model loaded.
+fn misdirected_outcome(answered: &Answered) -> Outcome {
+    let expected = &answered.permit.runner().name;
     match &answered.facts.runner {
-        Some(answering) if **answering != **asked => Outcome::Replaced,
+        Some(answering) if **answering != **expected => Outcome::Replaced,
         _ => Outcome::NotHeld,
     }
 }
 
+/// Gets a connection to `runner`, at the latest by `head_deadline`.
 async fn connect(
     context: &Context,
     runner: &Runner,
-    patience: Instant,
+    head_deadline: Instant,
 ) -> Result<Connection, AttemptError> {
-    let left = patience.saturating_duration_since(Instant::now());
-    let connected = context.connect(runner, CONNECT_TIMEOUT.min(left)).await;
+    let remaining = head_deadline.saturating_duration_since(Instant::now());
+    let connected = context
+        .connect(runner, CONNECT_TIMEOUT.min(remaining))
+        .await;
     connected.map_err(|error| {
         let outcome = match error {
             ConnectError::NoShareLeft => Outcome::Busy,
@@ -232,7 +247,8 @@
     })
 }
 
-fn build(context: &Context, outgoing: &Outgoing, forward: Forward) -> Request<Bytes> {
+/// Builds the request for one runner: `outgoing` with the headers that the gateway adds.
+fn build_request(context: &Context, outgoing: &Outgoing, forward: Forward) -> Request<Bytes> {
     let mut request = Request::new(outgoing.body.clone());
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.target.clone();
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of answers to callers: complete from the start, or sent in chunks.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,43 +8,45 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The answer cannot be completed; its connection is closed unfinished.
+/// Error that ends a body which cannot be completed. The connection to the caller is closed
+/// so that the caller sees the answer as incomplete.
 #[derive(Debug, Clone, Copy, Error)]
 #[error("the answer was cut off")]
 pub struct CutOff;
 
-/// Pieces of an answer's body.
-pub type Pieces = mpsc::Sender<Result<Bytes, CutOff>>;
+/// Sends the chunks of a body to the caller's connection. Dropping it completes the body.
+pub type BodySender = mpsc::Sender<Result<Bytes, CutOff>>;
 
-/// Ends an unfinished answer. Its reader may not have taken what is on its way, and may
-/// never: the sender keeps nothing else for it.
-pub fn cut_off(pieces: Pieces) {
+/// Ends a body as incomplete, without waiting for the caller. The caller may be slow or
+/// never read on, so a task that holds only the sender waits for room in the queue.
+pub fn cut_off(body_sender: BodySender) {
     crate::tasks::spawn(async move {
-        // Without a reader there is nobody to be told.
-        let _ = pieces.send(Err(CutOff)).await;
+        // An error means that the connection to the caller is gone.
+        let _ = body_sender.send(Err(CutOff)).await;
     });
 }
 
-/// The body of an answer.
+/// The body of an answer to a caller.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// Known whole.
+    /// All bytes are known; `None` after they have been sent.
     Whole(Option<Bytes>),
-    /// Comes in pieces.
-    Pieces(mpsc::Receiver<Result<Bytes, CutOff>>),
+    /// The bytes arrive in chunks from a [`BodySender`].
+    Chunked(mpsc::Receiver<Result<Bytes, CutOff>>),
 }
 
 impl AnswerBody {
-    /// A body that is known whole.
+    /// Creates a body of which all bytes are known.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
-    /// A body that comes in pieces, of which a few may be on their way.
-    pub fn pieces() -> (Pieces, Self) {
-        const ON_THEIR_WAY: usize = 8;
-        let (sender, receiver) = mpsc::channel(ON_THEIR_WAY);
-        (sender, Self::Pieces(receiver))
+    /// Creates a body that is sent in chunks, and its sender. The sender waits while the
+    /// queue of chunks is full.
+    pub fn chunked() -> (BodySender, Self) {
+        const QUEUED_CHUNKS: usize = 8;
+        let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
+        (sender, Self::Chunked(receiver))
     }
 }
 
@@ -58,9 +60,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(receiver) => receiver
+            Self::Chunked(receiver) => receiver
                 .poll_recv(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
@@ -72,7 +74,7 @@
         match self {
             Self::Whole(Some(bytes)) => SizeHint::with_exact(bytes.len() as u64),
             Self::Whole(None) => SizeHint::with_exact(0),
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunked(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a gateway share.
+//! The state and handles that all tasks of a gateway share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,60 +17,64 @@
 use crate::quota::QuotaHandle;
 use crate::upstream::{Checkout, ConnectError, Connection, Pool};
 
-/// Time for a connection to a runner to come up.
+/// Longest time that opening a connection to a runner may take.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes of a unit of memory for bodies.
+/// Bytes for which one permit of [`Context::body_memory`] stands.
 pub const BODY_UNIT: usize = 1024;
-/// Part of the process's memory that bodies of requests may take together.
-const BODY_PART: u64 = 4;
+/// Divisor of the process's memory that gives the memory for all request bodies together.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// Memory for bodies of a process with `memory_bytes`.
+/// Creates the semaphore from which request bodies reserve memory, for a process with
+/// `memory_bytes` of memory. A permit stands for [`BODY_UNIT`] bytes.
 pub fn body_memory(memory_bytes: u64) -> Arc<Semaphore> {
     Arc::new(Semaphore::new(
-        (memory_bytes / BODY_PART) as usize / BODY_UNIT,
+        (memory_bytes / BODY_MEMORY_DIVISOR) as usize / BODY_UNIT,
     ))
 }
 
-/// Shared by all tasks of a gateway; everything in it is immutable, a handle
-/// or a channel.
+/// State that all tasks of a gateway share. Each field is immutable, a handle or a channel,
+/// so that clones see the same state.
 #[derive(Clone)]
 pub struct Context {
-    /// The platform's names and formats.
+    /// Names and formats of the platform: objects in the store, headers, calls to runners.
     pub dialect: Arc<dyn Dialect>,
-    /// The network.
+    /// Opens and accepts connections and sends datagrams: sockets, or memory in tests.
     pub network: Arc<dyn Network>,
-    /// Settings of the process.
+    /// Settings with which the process was started.
     pub settings: Arc<NodeSettings>,
-    /// When the process started.
+    /// When the gateway was started.
     pub started: Instant,
-    /// The routes in force; `None` until a configuration is known.
+    /// Routes of the configuration in force; `None` before the first configuration.
     pub routes: watch::Receiver<Option<Arc<RouteTable>>>,
-    /// When the routes in force were known to be the operators' latest; `None`
-    /// until that was so once.
-    pub confirmed: watch::Receiver<Option<Instant>>,
-    /// How old that knowledge may be.
-    pub access: AccessBounds,
-    /// Permits to take requests from tenants.
+    /// When the routes in force were last confirmed to be the latest of the operators;
+    /// `None` before the first confirmation.
+    pub confirmed_at: watch::Receiver<Option<Instant>>,
+    /// How stale the local view may be for requests with credentials to be served by it.
+    pub access_bounds: AccessBounds,
+    /// Handle to the task that obtains permits from limit owners, for tenants' quotas and
+    /// runners' rate limits.
     pub quota: QuotaHandle,
-    /// The dispatcher.
+    /// Handle to the dispatcher, which chooses runners for requests.
     pub dispatch: DispatchHandle,
-    /// What becomes known of requests whose connections to runners broke.
+    /// Handle to the task that examines broken connections and quarantines requests that
+    /// crash runners.
     pub crashes: CrashHandle,
-    /// Connections to runners.
+    /// Idle connections to runners, and the number of open ones.
     pub pool: Arc<Pool>,
-    /// Whether the process is being stopped.
+    /// Stage of the process: running, draining or closing.
     pub lifecycle: Lifecycle,
-    /// Memory for bodies of requests, in units of [`BODY_UNIT`] bytes.
+    /// Memory for request bodies, in units of [`BODY_UNIT`] bytes.
     pub body_memory: Arc<Semaphore>,
-    /// Figures.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Callers' requests in flight.
-    pub requests: Arc<InFlight>,
+    /// Counter of the callers' requests in flight.
+    pub requests_in_flight: Arc<InFlight>,
 }
 
 impl Context {
-    /// The tenant under which a request on `route` with `credential` is served
-    /// now, by the routes in force.
+    /// Decides, by the routes in force, whether a request on `route` with `credential` may
+    /// be served now. Returns the credential's tenant; `None` if the route requires no
+    /// tenant.
     pub fn authorize(
         &self,
         route: &Route,
@@ -78,33 +82,40 @@
     ) -> Result<Option<Arc<Tenant>>, Denial> {
         let table = self.routes.borrow().clone();
         let table = table.ok_or(Denial::OldKnowledge)?;
-        authorize(self.knowledge(&table), route, credential, &self.access)
+        authorize(
+            self.local_view(&table),
+            route,
+            credential,
+            &self.access_bounds,
+        )
     }
 
-    /// Whether this node knows routes, and knows them well enough to serve
-    /// callers by their credentials, if they have any.
+    /// Returns whether this node can serve callers: it has routes, and, if the
+    /// configuration has tenants, its view is not too stale to check credentials.
     pub fn may_serve(&self) -> bool {
         let Some(table) = self.routes.borrow().clone() else {
             return false;
         };
-        let knowledge = self.knowledge(&table);
-        table.configuration().tenants.is_empty() || knowledge.may_serve(&self.access)
+        let local_view = self.local_view(&table);
+        table.configuration().tenants.is_empty() || local_view.may_serve(&self.access_bounds)
     }
 
-    /// `table` with the age of what this node knows.
-    fn knowledge<'a>(&self, table: &'a RouteTable) -> Knowledge<'a> {
+    /// Returns `table` together with the staleness of this node's view.
+    fn local_view<'a>(&self, table: &'a RouteTable) -> Knowledge<'a> {
         Knowledge {
             table,
-            age: self.knowledge_age(),
+            age: self.view_staleness(),
         }
     }
 
-    /// Time for which this node may have missed changes of the configuration.
-    pub fn knowledge_age(&self) -> Option<Duration> {
-        self.confirmed.borrow().map(|at| at.elapsed())
+    /// Returns the time for which this node may have missed changes of the configuration;
+    /// `None` if its view was never confirmed to be current.
+    pub fn view_staleness(&self) -> Option<Duration> {
+        self.confirmed_at.borrow().map(|at| at.elapsed())
     }
 
-    /// A connection to `runner`: one that rested, or a new one within `timeout`.
+    /// Returns a connection to `runner`: an idle one from the pool, or else a new one that
+    /// is opened within `timeout`.
     pub async fn connect(
         &self,
         runner: &Runner,
@@ -119,7 +130,8 @@
         Connection::open(&*self.network, runner.address, timeout, Some(slot)).await
     }
 
-    /// A new connection to `runner` within `timeout`, whatever rests.
+    /// Opens a new connection to `runner` within `timeout`, even if the pool has an idle
+    /// one.
     pub async fn connect_anew(
         &self,
         runner: &Runner,
@@ -131,16 +143,18 @@
         Connection::open(&*self.network, runner.address, timeout, Some(slot)).await
     }
 
-    /// Connections that this node may have to one runner of `service`.
+    /// Returns the number of connections that this node may have to one runner of
+    /// `service`: an equal share of the service's limit, at least 1.
     fn connection_share(&self, service: &str) -> u32 {
-        /// The rest covers nodes that do not know of each other yet.
-        const USED_PART: f64 = 0.8;
+        /// Fraction of the limit that is divided among the known nodes. The remainder is
+        /// for nodes that do not know of each other yet.
+        const USED_FRACTION: f64 = 0.8;
         let routes = self.routes.borrow();
         let limit = routes
             .as_ref()
             .and_then(|table| table.configuration().services.get(service))
             .map_or(u32::MAX, |service| service.connection_limit);
-        let share = f64::from(limit) * USED_PART / f64::from(self.dispatch.nodes());
+        let share = f64::from(limit) * USED_FRACTION / f64::from(self.dispatch.nodes());
         (share as u32).max(1)
     }
 }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's task ([`task`]), and handles to it.
+//! The dispatcher's task ([`task`]) and the handles through which the rest of the
+//! gateway uses it.
 
 mod task;
 
@@ -17,10 +18,11 @@
 
 pub use task::start;
 
-/// A request's place in the queue, chosen by the request.
+/// Identifies one call of [`DispatchHandle::acquire`], so that it can be cancelled.
 type CallId = u64;
 
-/// Leave to send one attempt to one runner. Dropping it gives it back.
+/// Permit to send one attempt to one runner. Dropping it returns it with the outcome
+/// [`Outcome::Abandoned`].
 #[derive(Debug)]
 pub struct Permit {
     grant: Grant,
@@ -29,38 +31,41 @@
 }
 
 impl Permit {
-    /// The runner.
+    /// Returns the runner to which the permit allows one attempt.
     pub fn runner(&self) -> &Arc<Runner> {
         &self.grant.runner
     }
 
-    /// Runners that could have been taken.
+    /// Returns the number of runners that were eligible when this one was chosen, this
+    /// one included.
     pub fn candidates(&self) -> usize {
         self.grant.candidates
     }
 
-    /// Attempts at the runner before this one.
+    /// Returns the number of attempts in flight at the runner when the permit was granted,
+    /// this one excluded.
     pub fn in_flight(&self) -> u32 {
         self.grant.in_flight
     }
 
-    /// Whether the runner was known to name a limit.
-    pub fn is_limited(&self) -> bool {
+    /// Returns whether the runner advertised a rate limit when the permit was granted.
+    pub fn runner_is_limited(&self) -> bool {
         self.grant.limited
     }
 
-    /// Whether the runner still takes new work.
-    pub fn is_open(&self) -> bool {
+    /// Returns whether the runner still takes new work: false once it is known to be
+    /// draining.
+    pub fn runner_accepts_work(&self) -> bool {
         self.grant.open.load(Ordering::Relaxed)
     }
 
-    /// Tells how the attempt goes while it goes on.
+    /// Reports an interim outcome of the attempt, which stays in flight.
     pub fn observe(&self, outcome: Outcome) {
         self.handle
             .send(Command::Observe(self.grant.permit, outcome));
     }
 
-    /// Gives the permit back.
+    /// Reports the outcome of the attempt and returns the permit.
     pub fn finish(mut self, outcome: Outcome) {
         self.finished = true;
         self.handle
@@ -77,6 +82,7 @@
     }
 }
 
+/// A message from a [`DispatchHandle`] to the dispatcher's task.
 enum Command {
     Acquire {
         call: CallId,
@@ -86,71 +92,75 @@
     Cancel(CallId),
     Finish(PermitId, Outcome),
     Observe(PermitId, Outcome),
-    Split(Arc<Route>, oneshot::Sender<Arc<str>>),
+    ChooseService(Arc<Route>, oneshot::Sender<Arc<str>>),
     Configure(Arc<Configuration>),
     UpdateRunner(Arc<Runner>),
     RemoveRunner(Arc<str>),
     RetainRunners(Vec<Arc<str>>),
     UpdateModels(Inventory),
-    PeerLoad(Arc<str>, Vec<(RunnerKey, u32)>, Duration),
-    HearLimit(Arc<str>, AdvertisedLimit),
-    HearLimits(Vec<LimitNews>),
-    HearLeaving(Arc<str>),
-    HearPause(Arc<str>, Duration),
-    HearLeavingNews(Vec<LeavingNews>),
-    TakeRatePermit(Arc<str>, RatePermitAnswer),
+    SetPeerLoad(Arc<str>, Vec<(RunnerKey, u32)>, Duration),
+    ApplyLimit(Arc<str>, AdvertisedLimit),
+    ApplyLimitUpdates(Vec<LimitNews>),
+    MarkDraining(Arc<str>),
+    SetRequestedPause(Arc<str>, Duration),
+    ApplyDrainingUpdates(Vec<LeavingNews>),
+    ApplyRatePermit(Arc<str>, RatePermitAnswer),
     SetMembers(Vec<Arc<str>>),
     SetEvacuated(BTreeMap<Arc<str>, Instant>),
-    SetLimits(BudgetLimits),
+    SetBudgetLimits(BudgetLimits),
     Snapshot(oneshot::Sender<Snapshot>),
 }
 
-/// What this node tells other nodes of itself.
+/// The part of the dispatcher's state that this node sends to other nodes.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// Attempts in flight by runner.
+    /// This node's attempts in flight by runner, without those of other nodes.
     pub load: Vec<(RunnerKey, u32)>,
-    /// Runners that do not answer.
+    /// Runners that this node cannot reach.
     pub unreachable: Vec<RunnerKey>,
-    /// Demand by model.
+    /// Demand by model from the requests that this node serves.
     pub demand: Vec<DemandItem>,
-    /// What runners said of their limits.
+    /// Rate limits that runners advertised, as updates for other nodes.
     pub limits: Vec<LimitNews>,
-    /// Runners that said that they leave.
+    /// Runners that signalled that they are draining, as updates for other nodes.
     pub leaving: Vec<LeavingNews>,
 }
 
-/// What runners said last of their limits, those that named one.
+/// The rate limit that each runner last advertised, by runner id. Runners that
+/// never advertised one are missing.
 pub type Limits = Arc<BTreeMap<Arc<str>, AdvertisedLimit>>;
 
-/// Runners that said that they leave.
+/// Ids of the runners that signalled that they are draining.
 pub type LeavingRunners = Arc<BTreeSet<Arc<str>>>;
 
-/// When the pauses end that runners asked this node for.
-pub type RunnerPauses = Arc<BTreeMap<Arc<str>, std::time::Instant>>;
+/// When the pause ends that a runner requested of this node, by runner id.
+pub type RequestedPauses = Arc<BTreeMap<Arc<str>, std::time::Instant>>;
 
-/// A runner that this node wants to call, and the limit that it named.
-pub type RatePermitWanted = (Arc<str>, RunnerLimit);
+/// Request for a permit to call a rate-limited runner: the runner's id and the limit
+/// that it advertised.
+pub type RatePermitRequest = (Arc<str>, RunnerLimit);
 
-/// What changes without a message and is read often.
+/// Counters that handles read and write directly, without a message to the task.
 #[derive(Debug, Default)]
-struct Shared {
+struct SharedCounters {
     nodes: AtomicU32,
     calls: AtomicU64,
 }
 
-/// A handle to the dispatcher's task.
+/// Handle to the dispatcher's task. Its methods send a command and, where they return
+/// nothing, do not wait until the command is carried out.
 #[derive(Debug, Clone)]
 pub struct DispatchHandle {
-    // Bounded by the requests in flight: each has one command on its way.
+    // Bounded by the requests in flight: each has one command in the queue.
     commands: mpsc::UnboundedSender<Command>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedCounters>,
     limits: watch::Receiver<Limits>,
-    leaving: watch::Receiver<LeavingRunners>,
-    pauses: watch::Receiver<RunnerPauses>,
+    draining: watch::Receiver<LeavingRunners>,
+    requested_pauses: watch::Receiver<RequestedPauses>,
 }
 
-/// Cancels a call that is dropped while it waits; no effect once it is answered.
+/// Cancels a call of `acquire` that is dropped while it waits. Has no effect on a call
+/// that is answered.
 struct CancelOnDrop<'a> {
     handle: &'a DispatchHandle,
     call: CallId,
@@ -168,7 +178,9 @@
         let _ = self.commands.send(command);
     }
 
-    /// Asks for a runner; waits as long as the dispatcher lets it.
+    /// Requests a permit for a runner that suits `query`. Waits in the queue until one is
+    /// granted or the dispatcher refuses the request. Returns `None` if the dispatcher's
+    /// task is gone.
     pub async fn acquire(&self, query: Query) -> Option<Result<Permit, Refusal>> {
         let call = self.shared.calls.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
@@ -181,128 +193,131 @@
         answer.await.ok()
     }
 
-    /// The backend for the next request on `route`.
-    pub async fn split(&self, route: &Arc<Route>) -> Arc<str> {
+    /// Chooses the service for the next request on `route`, by the route's traffic split.
+    pub async fn choose_service(&self, route: &Arc<Route>) -> Arc<str> {
         if let [only] = route.backends.as_slice() {
             return only.service.clone();
         }
         let (reply, answer) = oneshot::channel();
-        self.send(Command::Split(route.clone(), reply));
+        self.send(Command::ChooseService(route.clone(), reply));
         answer
             .await
             .unwrap_or_else(|_| route.backends[0].service.clone())
     }
 
-    /// Puts a configuration in force.
+    /// Replaces the configuration by which the dispatcher decides.
     pub fn configure(&self, configuration: Arc<Configuration>) {
         self.send(Command::Configure(configuration));
     }
 
-    /// Takes in a runner's entry.
+    /// Adds a runner, or replaces its entry, from the runner's object in the store.
     pub fn update_runner(&self, runner: Arc<Runner>) {
         self.send(Command::UpdateRunner(runner));
     }
 
-    /// Forgets a runner.
+    /// Removes the runner `id` and all state that belongs to it.
     pub fn remove_runner(&self, id: Arc<str>) {
         self.send(Command::RemoveRunner(id));
     }
 
-    /// Forgets all runners but those in `kept`.
+    /// Removes all runners except those with an id in `kept`.
     pub fn retain_runners(&self, kept: Vec<Arc<str>>) {
         self.send(Command::RetainRunners(kept));
     }
 
-    /// Takes in what a runner holds.
+    /// Applies the list of models and adapters that a runner has loaded.
     pub fn update_models(&self, inventory: Inventory) {
         self.send(Command::UpdateModels(inventory));
     }
 
-    /// Takes in other nodes' load, as `source` says, believed for `believed_for`.
+    /// Replaces the load of other nodes that `source` reported: their attempts in flight
+    /// by runner. The report expires after `valid_for`.
     pub fn set_peer_load(
         &self,
         source: Arc<str>,
         load: Vec<(RunnerKey, u32)>,
-        believed_for: Duration,
+        valid_for: Duration,
     ) {
-        self.send(Command::PeerLoad(source, load, believed_for));
+        self.send(Command::SetPeerLoad(source, load, valid_for));
     }
 
-    /// Takes in what the runner `id` said of its limit.
-    pub fn hear_limit(&self, id: Arc<str>, advertised: AdvertisedLimit) {
-        self.send(Command::HearLimit(id, advertised));
+    /// Applies the rate limit that the runner `id` advertised in an answer to this node.
+    pub fn apply_limit(&self, id: Arc<str>, advertised: AdvertisedLimit) {
+        self.send(Command::ApplyLimit(id, advertised));
     }
 
-    /// Takes in what another node heard of runners' limits.
-    pub fn hear_limits(&self, news: Vec<LimitNews>) {
-        if !news.is_empty() {
-            self.send(Command::HearLimits(news));
+    /// Applies rate limits of runners that another node reported.
+    pub fn hear_limits(&self, updates: Vec<LimitNews>) {
+        if !updates.is_empty() {
+            self.send(Command::ApplyLimitUpdates(updates));
         }
     }
 
-    /// Takes in that the runner `id` said that it leaves.
-    pub fn hear_leaving(&self, id: Arc<str>) {
-        self.send(Command::HearLeaving(id));
+    /// Marks the runner `id` as draining, after its signal in an answer to this node.
+    pub fn mark_draining(&self, id: Arc<str>) {
+        self.send(Command::MarkDraining(id));
     }
 
-    /// Takes in what another node heard of leaving runners.
-    pub fn hear_leaving_news(&self, news: Vec<LeavingNews>) {
-        if !news.is_empty() {
-            self.send(Command::HearLeavingNews(news));
+    /// Marks runners as draining that another node reported.
+    pub fn hear_leaving_news(&self, updates: Vec<LeavingNews>) {
+        if !updates.is_empty() {
+            self.send(Command::ApplyDrainingUpdates(updates));
         }
     }
 
-    /// Takes in that the runner `id` wants nothing of this node for `pause`.
-    pub fn hear_pause(&self, id: Arc<str>, pause: Duration) {
-        self.send(Command::HearPause(id, pause));
+    /// Stops attempts to the runner `id` for `pause`, which the runner requested of this
+    /// node.
+    pub fn set_requested_pause(&self, id: Arc<str>, pause: Duration) {
+        self.send(Command::SetRequestedPause(id, pause));
     }
 
-    /// How much longer the runner `id` wants nothing of this node, if it does.
+    /// Returns the remaining time of the pause that the runner `id` requested of this
+    /// node; `None` if there is none or it is over.
     pub fn pause_left(&self, id: &str) -> Option<Duration> {
-        let end = self.pauses.borrow().get(id).copied()?;
-        let left = end.saturating_duration_since(Instant::now().into_std());
-        (!left.is_zero()).then_some(left)
+        let end = self.requested_pauses.borrow().get(id).copied()?;
+        let remaining = end.saturating_duration_since(Instant::now().into_std());
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Takes in whether the runner `id` may be called.
-    pub fn take_rate_permit(&self, id: Arc<str>, answer: RatePermitAnswer) {
-        self.send(Command::TakeRatePermit(id, answer));
+    /// Applies the limit owner's answer to a [`RatePermitRequest`] for the runner `id`.
+    pub fn apply_rate_permit(&self, id: Arc<str>, answer: RatePermitAnswer) {
+        self.send(Command::ApplyRatePermit(id, answer));
     }
 
-    /// What runners said last of their limits.
+    /// Returns the rate limit that each runner last advertised to any node.
     pub fn limits(&self) -> Limits {
         self.limits.borrow().clone()
     }
 
-    /// The runners that said that they leave.
+    /// Returns the ids of the runners that signalled to any node that they are draining.
     pub fn leaving(&self) -> LeavingRunners {
-        self.leaving.borrow().clone()
+        self.draining.borrow().clone()
     }
 
-    /// Sets the nodes that share limits, this one included.
+    /// Sets the nodes over which cluster-wide limits are divided, this one included.
     pub fn set_members(&self, members: Vec<Arc<str>>) {
         let nodes = members.len() as u32;
         self.shared.nodes.store(nodes, Ordering::Relaxed);
         self.send(Command::SetMembers(members));
     }
 
-    /// Takes in which zones the operators evacuate, and until when the runners of
-    /// each still serve what no others can.
+    /// Sets the zones that operators evacuate. Until the time given for a zone, its
+    /// runners still serve requests that no runner elsewhere can serve.
     pub fn set_evacuated(&self, zones: BTreeMap<Arc<str>, Instant>) {
         self.send(Command::SetEvacuated(zones));
     }
 
-    /// Changes what all nodes together may spend on retries.
-    pub fn set_limits(&self, limits: BudgetLimits) {
-        self.send(Command::SetLimits(limits));
+    /// Sets the limits of the retry budget, which all nodes share.
+    pub fn set_budget_limits(&self, limits: BudgetLimits) {
+        self.send(Command::SetBudgetLimits(limits));
     }
 
-    /// Nodes that share limits.
+    /// Returns the number of nodes over which cluster-wide limits are divided; at least 1.
     pub fn nodes(&self) -> u32 {
         self.shared.nodes.load(Ordering::Relaxed).max(1)
     }
 
-    /// This node's load and demand.
+    /// Returns the state to send to other nodes; `None` if the dispatcher's task is gone.
     pub async fn snapshot(&self) -> Option<Snapshot> {
         let (reply, answer) = oneshot::channel();
         self.send(Command::Snapshot(reply));
--- a/crates/gateway/src/dispatch/task.rs
+++ b/crates/gateway/src/dispatch/task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the dispatcher.
+//! The task that owns the dispatcher: it carries out commands, wakes up when time alone
+//! may let a waiting request proceed, and answers the requests.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,38 +12,39 @@
 use tokio::time::Instant;
 
 use crate::dispatch::{
-    CallId, Command, DispatchHandle, LeavingRunners, Limits, Permit, RatePermitWanted,
-    RunnerPauses, Snapshot,
+    CallId, Command, DispatchHandle, LeavingRunners, Limits, Permit, RatePermitRequest,
+    RequestedPauses, Snapshot,
 };
 use crate::journal;
 
-/// Time between two looks at the queue when nothing happens.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3600);
+/// Longest time between two polls of the queue.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// The same while requests wait: what a runner refused is tried again after a
-/// while, and no message says so.
-const WAITING_PAUSE: Duration = Duration::from_millis(200);
+/// Longest time between two polls while requests wait. A runner that rejected a request
+/// becomes eligible again after some time, and no command reports that.
+const MAX_POLL_INTERVAL_WHILE_WAITING: Duration = Duration::from_millis(200);
 
-/// Time by which a timer is set late, so that what it waits for is there.
+/// Time added to each timer, so that the event that it waits for is due when it fires.
 const TIMER_SLACK: Duration = Duration::from_millis(1);
 
-/// Starts the task. `urgent` is notified when a request begins to wait; `rate_permits` gets
-/// the rate-limited runners for which a permit is wanted.
+/// Starts the task and returns a handle to it. `urgent` is notified when a request starts
+/// to wait or is refused. `rate_permits` receives the requests for permits to call
+/// rate-limited runners.
 pub fn start(
     dispatcher: Dispatcher,
     urgent: Arc<tokio::sync::Notify>,
-    rate_permits: mpsc::UnboundedSender<RatePermitWanted>,
+    rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
 ) -> DispatchHandle {
     let (commands, inbox) = mpsc::unbounded_channel();
     let (limits_sender, limits) = watch::channel(Limits::default());
-    let (leaving_sender, leaving) = watch::channel(LeavingRunners::default());
-    let (pauses_sender, pauses) = watch::channel(RunnerPauses::default());
+    let (draining_sender, draining) = watch::channel(LeavingRunners::default());
+    let (pauses_sender, requested_pauses) = watch::channel(RequestedPauses::default());
     let handle = DispatchHandle {
         commands,
         shared: Arc::default(),
         limits,
-        leaving,
-        pauses,
+        draining,
+        requested_pauses,
     };
     let task = DispatchTask {
         dispatcher,
@@ -53,13 +55,14 @@
         urgent,
         rate_permits,
         limits: limits_sender,
-        leaving: leaving_sender,
-        pauses: pauses_sender,
+        draining: draining_sender,
+        requested_pauses: pauses_sender,
     };
     crate::tasks::spawn(task.run(inbox));
     handle
 }
 
+/// State of the dispatcher's task.
 struct DispatchTask {
     dispatcher: Dispatcher,
     splitter: Splitter,
@@ -67,56 +70,63 @@
     tickets: HashMap<CallId, Ticket>,
     handle: DispatchHandle,
     urgent: Arc<tokio::sync::Notify>,
-    rate_permits: mpsc::UnboundedSender<RatePermitWanted>,
+    rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
     limits: watch::Sender<Limits>,
-    leaving: watch::Sender<LeavingRunners>,
-    pauses: watch::Sender<RunnerPauses>,
+    draining: watch::Sender<LeavingRunners>,
+    requested_pauses: watch::Sender<RequestedPauses>,
 }
 
 impl DispatchTask {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Command>) {
         loop {
-            let pause = self.pause();
+            let poll_interval = self.poll_interval();
             tokio::select! {
                 command = inbox.recv() => match command {
                     Some(command) => self.handle_command(command),
                     None => return,
                 },
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(poll_interval) => {}
             }
             while let Ok(command) = inbox.try_recv() {
                 self.handle_command(command);
             }
             self.answer_waiting();
-            self.ask_rate_permits();
+            self.request_rate_permits();
         }
     }
 
-    fn pause(&self) -> Duration {
+    /// Returns the time until the queue must be polled even if no command arrives.
+    fn poll_interval(&self) -> Duration {
         let until = |at: std::time::Instant| at.saturating_duration_since(now()) + TIMER_SLACK;
-        let permit = self
+        let next_permit = self
             .dispatcher
             .next_rate_permit()
-            .map_or(LONGEST_PAUSE, until);
-        let refusal = self.dispatcher.next_refusal();
-        let refusal = refusal.map_or(LONGEST_PAUSE, |at| until(at).min(WAITING_PAUSE));
-        let waits = self.dispatcher.waiting() > 0;
-        let pause_end = self.dispatcher.next_pause_end(now()).filter(|_| waits);
-        permit
-            .min(refusal)
-            .min(pause_end.map_or(LONGEST_PAUSE, until))
+            .map_or(MAX_POLL_INTERVAL, until);
+        let next_refusal = self.dispatcher.next_refusal();
+        let next_refusal = next_refusal.map_or(MAX_POLL_INTERVAL, |at| {
+            until(at).min(MAX_POLL_INTERVAL_WHILE_WAITING)
+        });
+        let has_waiting = self.dispatcher.waiting() > 0;
+        let pause_end = self
+            .dispatcher
+            .next_pause_end(now())
+            .filter(|_| has_waiting);
+        next_permit
+            .min(next_refusal)
+            .min(pause_end.map_or(MAX_POLL_INTERVAL, until))
     }
 
-    /// Has the owners of limits asked for permits to call rate-limited runners.
-    fn ask_rate_permits(&mut self) {
-        for wanted in self.dispatcher.rate_permits_to_ask(now()) {
-            // The task that asks ends only with the process.
-            let _ = self.rate_permits.send(wanted);
+    /// Requests permits to call rate-limited runners from the limit owners.
+    fn request_rate_permits(&mut self) {
+        for request in self.dispatcher.rate_permits_to_ask(now()) {
+            // The receiving task ends only with the process.
+            let _ = self.rate_permits.send(request);
         }
     }
 
-    /// Tells what changed of runners' limits, and everything that is known of them.
-    fn tell_limits(&self, changes: impl IntoIterator<Item = LimitChange>, source: &'static str) {
+    /// Logs changes of runners' rate limits and publishes all current ones to the handles.
+    /// `source` says whether the runner itself or another node reported the changes.
+    fn publish_limits(&self, changes: impl IntoIterator<Item = LimitChange>, source: &'static str) {
         for change in changes {
             journal::runner_limit(&change, source);
         }
@@ -127,20 +137,23 @@
         self.limits.send_replace(Arc::new(limits));
     }
 
-    /// Tells which runners leave, if any of them was not known to.
-    fn tell_leaving(&self, added: &[Arc<str>], source: &'static str) {
+    /// Logs the runners that are newly known to be draining, and publishes all draining
+    /// runners to the handles. `source` says whether the runner itself or another node
+    /// reported them.
+    fn publish_added_draining(&self, added: &[Arc<str>], source: &'static str) {
         if added.is_empty() {
             return;
         }
         for runner in added {
-            journal::runner_leaves(runner, source);
+            journal::runner_draining(runner, source);
         }
-        self.show_leaving();
+        self.publish_draining();
     }
 
-    fn show_leaving(&self) {
-        let leaving = Arc::new(self.dispatcher.leaving());
-        self.leaving.send_replace(leaving);
+    /// Publishes the draining runners to the handles.
+    fn publish_draining(&self) {
+        let draining = Arc::new(self.dispatcher.leaving());
+        self.draining.send_replace(draining);
     }
 
     fn handle_command(&mut self, command: Command) {
@@ -154,7 +167,7 @@
             }
             Command::Finish(permit, outcome) => self.dispatcher.finish(permit, outcome, now()),
             Command::Observe(permit, outcome) => self.dispatcher.observe(permit, outcome, now()),
-            Command::Split(route, reply) => {
+            Command::ChooseService(route, reply) => {
                 let _ = reply.send(self.splitter.pick(&route));
             }
             Command::Configure(configuration) => {
@@ -163,47 +176,47 @@
             }
             Command::UpdateRunner(runner) => {
                 if self.dispatcher.update_runner(runner, now()) {
-                    self.show_leaving();
+                    self.publish_draining();
                 }
             }
             Command::RemoveRunner(id) => self.dispatcher.remove_runner(&id),
             Command::RetainRunners(kept) => self.dispatcher.retain_runners(&kept),
             Command::UpdateModels(inventory) => self.dispatcher.update_models(inventory, now()),
-            Command::PeerLoad(source, load, believed_for) => {
+            Command::SetPeerLoad(source, load, valid_for) => {
                 self.dispatcher
-                    .set_peer_load(source, load, believed_for, now())
+                    .set_peer_load(source, load, valid_for, now())
             }
-            Command::HearLimit(id, advertised) => {
+            Command::ApplyLimit(id, advertised) => {
                 let change = self.dispatcher.hear_limit(&id, advertised);
-                self.tell_limits(change, "runner");
+                self.publish_limits(change, "runner");
             }
-            Command::HearLimits(news) => {
-                let changes = self.dispatcher.hear_limits(&news, now());
-                self.tell_limits(changes, "node");
+            Command::ApplyLimitUpdates(updates) => {
+                let changes = self.dispatcher.hear_limits(&updates, now());
+                self.publish_limits(changes, "node");
             }
-            Command::HearLeaving(id) => {
+            Command::MarkDraining(id) => {
                 if self.dispatcher.hear_leaving(&id, now(), now()) {
-                    self.tell_leaving(&[id], "runner");
+                    self.publish_added_draining(&[id], "runner");
                 }
             }
-            Command::HearPause(id, pause) => {
+            Command::SetRequestedPause(id, pause) => {
                 self.dispatcher.hear_pause(&id, pause, now());
                 let pauses = Arc::new(self.dispatcher.pauses(now()));
-                self.pauses.send_replace(pauses);
+                self.requested_pauses.send_replace(pauses);
             }
-            Command::HearLeavingNews(news) => {
-                let added = self.dispatcher.hear_leaving_news(&news, now());
-                self.tell_leaving(&added, "node");
+            Command::ApplyDrainingUpdates(updates) => {
+                let added = self.dispatcher.hear_leaving_news(&updates, now());
+                self.publish_added_draining(&added, "node");
             }
-            Command::TakeRatePermit(id, answer) => {
+            Command::ApplyRatePermit(id, answer) => {
                 self.dispatcher.take_rate_permit(&id, answer, now())
             }
-            Command::SetLimits(limits) => self.dispatcher.set_limits(limits),
+            Command::SetBudgetLimits(limits) => self.dispatcher.set_limits(limits),
             Command::SetMembers(members) => self.dispatcher.set_members(members),
             Command::SetEvacuated(zones) => {
                 let zones = zones
                     .into_iter()
-                    .map(|(zone, last)| (zone, last.into_std()));
+                    .map(|(zone, serves_until)| (zone, serves_until.into_std()));
                 self.dispatcher.set_evacuated(zones.collect(), now());
             }
             Command::Snapshot(reply) => {
@@ -218,6 +231,7 @@
         }
     }
 
+    /// Answers the call at once if it is granted or refused; otherwise queues it.
     fn acquire(
         &mut self,
         call: CallId,
@@ -227,18 +241,19 @@
         match self.dispatcher.acquire(query, now()) {
             Acquired::Granted(grant) => self.reply(reply, Ok(grant)),
             Acquired::Refused(refusal) => {
-                self.call_leader();
+                self.report_demand_now();
                 self.reply(reply, Err(refusal));
             }
             Acquired::Waiting(ticket) => {
                 self.replies.insert(ticket, (call, reply));
                 self.tickets.insert(call, ticket);
-                self.call_leader();
+                self.report_demand_now();
             }
         }
     }
 
-    fn call_leader(&self) {
+    /// Has this node's demand sent to the placement leader without delay.
+    fn report_demand_now(&self) {
         self.urgent.notify_one();
     }
 
@@ -252,10 +267,11 @@
             handle: self.handle.clone(),
             finished: false,
         });
-        // A permit that nobody takes gives itself back when it is dropped.
+        // If the caller is gone, the permit is dropped here, which returns it.
         let _ = reply.send(answer);
     }
 
+    /// Answers the waiting calls that are now granted or refused.
     fn answer_waiting(&mut self) {
         if self.dispatcher.waiting() == 0 {
             return;
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,41 +1,42 @@
-//! Splits the bytes of an event stream into whole events.
+//! Splits the bytes of an event stream (`text/event-stream`) into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is taken.
-const LONGEST_EVENT: usize = 1 << 20;
+/// Longest event that is accepted, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event, its empty last line included.
+/// A complete event of an event stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes.
+    /// The event as received, with the empty line that ends it.
     pub bytes: Bytes,
-    /// Its id, where it has one.
+    /// The event's id; `None` if it has no `id` field.
     pub id: Option<String>,
 }
 
-/// The stream cannot be split.
+/// The bytes that are not split yet exceed the maximum length of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Collects bytes until an event is whole.
+/// Collects the bytes of an event stream and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
+    /// Start of the first line that has not been searched for the end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(bytes);
-        if self.buffer.len() > LONGEST_EVENT {
+        if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         Ok(())
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         self.searched = 0;
@@ -44,13 +45,14 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Bytes that belong to no whole event yet.
-    pub fn rest(&mut self) -> Bytes {
+    /// Removes and returns the bytes that do not make up a complete event.
+    pub fn take_incomplete(&mut self) -> Bytes {
         self.searched = 0;
         self.buffer.split().freeze()
     }
 
-    /// Where the first event ends: behind its empty line.
+    /// Returns the position behind the empty line that ends the first event; `None` if the
+    /// event is not complete.
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
         let mut line_start = self.searched;
@@ -66,6 +68,7 @@
     }
 }
 
+/// Returns the value of the event's last `id` field.
 fn event_id(event: &[u8]) -> Option<String> {
     event
         .split(|byte| *byte == b'\n')
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,5 +1,5 @@
-//! A client's request on its way: what it asked for, where it has been, and
-//! what is known about whether it ran.
+//! A client's request between its admission and its end: what it asks for, the runners
+//! that were tried, and whether it may have run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,79 +19,84 @@
 use crate::journal;
 use crate::quota::Charge;
 
-/// Rejections by runners that one request may collect.
-const MOST_REJECTIONS: u32 = 2;
-/// Attempts of which nothing was sent that one request may collect.
-const MOST_UNSENT: u32 = 4;
-/// Part of the route's time-out that a client has left at its first try.
-const FIRST_TRY_PART: f64 = 0.95;
-/// Longest wait for what a lost runner says of the request: it takes a connection and an
-/// exchange of datagrams, where all answer.
-const LONGEST_SETTLING: Duration = Duration::from_millis(100);
-/// Shortest time after which a silent runner is left for another one.
-const SHORTEST_STALL: Duration = Duration::from_millis(300);
-/// Shortest time after which a silent stream is left, before its first event.
-const SHORTEST_STREAM_STALL: Duration = Duration::from_millis(900);
-
-/// Pauses of a stream from this on are not its usual pace.
-const LONG_PAUSE: Duration = Duration::from_millis(60);
-/// Events that tell a stream's usual pace.
-const ENOUGH_GAPS: u32 = 10;
-
-/// What the admission of a request found out.
+/// Most rejections by runners after which a request still gets another attempt.
+const MAX_REJECTIONS: u32 = 2;
+/// Most attempts without a byte sent after which a request still gets another one.
+const MAX_UNSENT: u32 = 4;
+/// Fraction of the route's timeout below which a client's remaining time shows that the
+/// request is a retry by the client.
+const FIRST_TRY_FRACTION: f64 = 0.95;
+/// Longest wait for the finding whether a lost runner crashed under the request. Where
+/// all parties answer, it takes one connection attempt and one exchange of datagrams.
+const CRASH_FINDING_TIMEOUT: Duration = Duration::from_millis(100);
+/// Lower bound of the stall timeout for requests that are not streams.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Lower bound of the stall timeout for streams before their first event.
+const MIN_STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// Gaps between events of at least this length do not count towards the usual gap.
+const LONG_GAP: Duration = Duration::from_millis(60);
+/// Number of gaps from which a stream's usual gap is known.
+const MIN_GAP_SAMPLES: u32 = 10;
+
+/// What the admission of a request determined.
 pub struct Admitted {
-    /// The route.
+    /// The route that matches the request's host and path.
     pub route: Arc<Route>,
-    /// The service that its traffic split chose.
+    /// The service that the route's traffic split chose.
     pub service: Arc<str>,
-    /// The tenant that asks, where callers have tenants.
+    /// The tenant whose credential the request carries; `None` if the route requires no
+    /// tenant.
     pub tenant: Option<Arc<Tenant>>,
-    /// What it was granted of its tenant's limit.
+    /// The units granted to the request from its tenant's quota; `None` if the tenant
+    /// has no quota.
     pub charge: Option<Charge>,
 }
 
-/// A request on its way.
+/// An admitted request until its end.
 pub struct Exchange {
-    /// What all parts share.
+    /// The shared state of the gateway.
     pub context: Context,
-    /// The route.
+    /// The route that matches the request's host and path.
     pub route: Arc<Route>,
-    /// The service that its traffic split chose.
+    /// The service that the route's traffic split chose.
     pub service: Arc<str>,
-    /// The tenant that asks, where callers have tenants.
+    /// The tenant whose credential the request carries; `None` if the route requires no
+    /// tenant.
     pub tenant: Option<Arc<Tenant>>,
     charge: Option<Charge>,
-    /// Whether the service's runners hold models.
+    /// Whether the service's runners load models.
     pub has_engine: bool,
-    /// What the request's head says.
+    /// Values read from the request's head.
     pub facts: RequestFacts,
-    /// The request as it goes to runners.
+    /// The request as it is sent to runners.
     pub outgoing: Outgoing,
-    /// When it came.
+    /// When the request's head arrived.
     pub received: Instant,
-    /// When its time is up.
+    /// When the gateway gives up on the request.
     pub deadline: Instant,
-    /// When the client last got something, or began to wait.
-    pub heard: Instant,
-    /// Whether it may have run.
+    /// When the client last got an event; the time of arrival before the first one.
+    pub last_event_at: Instant,
+    /// Whether the request may have run at any of the runners tried so far.
     pub verdict: Verdict,
-    /// Time until its first event, for streams.
+    /// Time from the request's arrival to its first event; `None` before that, and for
+    /// requests that are not streams.
     pub first_event: Option<Duration>,
-    /// Longest time between two events, for streams.
+    /// Longest time between two events of the stream; zero before its second event.
     pub longest_gap: Duration,
-    usual_gaps: Duration,
+    usual_gap_sum: Duration,
     usual_gap_count: u32,
     excluded: Vec<Arc<str>>,
-    runs: u32,
+    possible_runs: u32,
     rejections: u32,
     unsent: u32,
-    unsettled: Option<Settled>,
+    crash_finding: Option<Settled>,
     ended: bool,
     _in_flight: InFlightGuard,
 }
 
 impl Exchange {
-    /// A request that has been read whole.
+    /// Creates the exchange of a request whose body has been read completely.
     pub fn new(
         context: Context,
         admitted: Admitted,
@@ -106,7 +111,7 @@
             tenant,
             charge,
         } = admitted;
-        let in_flight = context.requests.enter();
+        let in_flight = context.requests_in_flight.start_request();
         let has_engine = context.routes.borrow().as_ref().is_some_and(|table| {
             let services = &table.configuration().services;
             services
@@ -124,36 +129,37 @@
             outgoing,
             received,
             deadline,
-            heard: received,
+            last_event_at: received,
             verdict: Verdict::NotRun,
             first_event: None,
             longest_gap: Duration::ZERO,
-            usual_gaps: Duration::ZERO,
+            usual_gap_sum: Duration::ZERO,
             usual_gap_count: 0,
             excluded: Vec::new(),
-            runs: 0,
+            possible_runs: 0,
             rejections: 0,
             unsent: 0,
-            unsettled: None,
+            crash_finding: None,
             ended: false,
             _in_flight: in_flight,
         }
     }
 
-    /// The request's id in logs.
+    /// Returns the id of the client's attempt for log lines; `-` if the client sent none.
     pub fn id(&self) -> &str {
         self.outgoing.request_id.as_deref().unwrap_or("-")
     }
 
-    /// Its rank: that of its tenant, or else of its route; 0 is the most urgent.
+    /// Returns the request's priority: that of its tenant, or else of its route. 0 is the
+    /// most urgent.
     pub fn priority(&self) -> u8 {
-        let of_tenant = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        of_tenant.unwrap_or(self.route.priority)
+        let tenant_priority = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        tenant_priority.unwrap_or(self.route.priority)
     }
 
-    /// Whether it may still be sent under its credential, by what is known now:
-    /// it may have waited, or is to run a second time.
-    pub fn authorize_again(&self) -> Result<(), Denial> {
+    /// Checks again, before each attempt, whether the request's credential allows it: the
+    /// configuration may have changed while it waited or ran at another runner.
+    pub fn reauthorize(&self) -> Result<(), Denial> {
         let credential = self.facts.credential.as_ref();
         let authorized = self.context.authorize(&self.route, credential).map(drop);
         authorized.inspect_err(|denial| {
@@ -161,26 +167,28 @@
         })
     }
 
-    /// How much longer it may be sent to no runner, if it is in quarantine.
+    /// Returns the remaining time for which the request must not be sent to any runner;
+    /// `None` if it is not quarantined. Logs a quarantine.
     pub fn quarantined(&self) -> Option<Duration> {
-        let left = self.context.crashes.quarantined(self.outgoing.fingerprint);
-        left.inspect(|left| self.tell_quarantine(*left))
+        let remaining = self.context.crashes.quarantined(self.outgoing.fingerprint);
+        remaining.inspect(|remaining| self.log_quarantine(*remaining))
     }
 
-    /// Waits until it is in quarantine: for how long.
+    /// Waits until the request is quarantined, and returns the remaining time of the
+    /// quarantine. Logs it.
     pub async fn until_quarantined(&self) -> Duration {
         let fingerprint = self.outgoing.fingerprint;
-        let left = self.context.crashes.until_quarantined(fingerprint).await;
-        self.tell_quarantine(left);
-        left
+        let remaining = self.context.crashes.until_quarantined(fingerprint).await;
+        self.log_quarantine(remaining);
+        remaining
     }
 
-    fn tell_quarantine(&self, left: Duration) {
-        journal::quarantine_met(self.id(), self.outgoing.fingerprint, left);
+    fn log_quarantine(&self, remaining: Duration) {
+        journal::quarantine_applied(self.id(), self.outgoing.fingerprint, remaining);
     }
 
-    /// Says in the log that it was taken, by the configuration `version`.
-    pub fn tell_accepted(&self, version: u64) {
+    /// Logs that the request was admitted under the configuration `version`.
+    pub fn log_accepted(&self, version: u64) {
         journal::accepted(&journal::Accepted {
             request: self.id(),
             route: &self.route,
@@ -190,45 +198,48 @@
             wanted: self.facts.model.as_ref(),
             priority: self.priority(),
             cost: self.charge.as_ref().map(Charge::cost),
-            left: self.left(),
+            remaining: self.remaining_time(),
         });
     }
 
-    /// Says in the log that it waits for a runner.
-    pub fn tell_waiting(&self) {
+    /// Logs that the request waits for a runner.
+    pub fn log_waiting(&self) {
         let wanted = self.facts.model.as_ref();
-        journal::waits(self.id(), &self.service, wanted, self.priority());
+        journal::waiting_for_runner(self.id(), &self.service, wanted, self.priority());
     }
 
-    /// Time until the deadline.
-    pub fn left(&self) -> Duration {
+    /// Returns the time until the deadline; zero after it.
+    pub fn remaining_time(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Notes that the client gets an event now.
-    pub fn event_passes(&mut self) {
+    /// Records the time of an event that is now sent to the client, and its gap to the
+    /// event before.
+    pub fn record_event(&mut self) {
         let now = Instant::now();
         if self.first_event.is_some() {
-            let gap = now - self.heard;
+            let gap = now - self.last_event_at;
             self.longest_gap = self.longest_gap.max(gap);
-            if gap < LONG_PAUSE {
-                self.usual_gaps += gap;
+            if gap < LONG_GAP {
+                self.usual_gap_sum += gap;
                 self.usual_gap_count += 1;
             }
         } else {
             self.first_event = Some(now - self.received);
         }
-        self.heard = now;
+        self.last_event_at = now;
     }
 
-    /// Usual time between two events, if there were enough of them.
+    /// Returns the mean time between two events, long gaps excluded; `None` with fewer
+    /// than [`MIN_GAP_SAMPLES`] gaps.
     pub fn usual_gap(&self) -> Option<Duration> {
-        (self.usual_gap_count >= ENOUGH_GAPS).then(|| self.usual_gaps / self.usual_gap_count)
+        (self.usual_gap_count >= MIN_GAP_SAMPLES).then(|| self.usual_gap_sum / self.usual_gap_count)
     }
 
-    /// What to ask the dispatcher for.
+    /// Builds the dispatcher's query for the next attempt. If `may_wait` is false, the
+    /// dispatcher refuses instead of queueing.
     pub fn query(&self, attempt: AttemptKind, may_wait: bool) -> Query {
-        let silent = self.heard.elapsed();
+        let since_last_event = self.last_event_at.elapsed();
         Query {
             service: self.service.clone(),
             wanted: self.wanted(),
@@ -241,8 +252,8 @@
             patience: self
                 .route
                 .stream_patience
-                .map(|patience| patience.saturating_sub(silent)),
-            returning: self.is_returning(),
+                .map(|patience| patience.saturating_sub(since_last_event)),
+            returning: self.is_client_retry(),
             homes: Homes::of(&self.route, self.tenant.as_deref()),
             excluded: self.excluded.clone(),
             attempt,
@@ -250,62 +261,71 @@
         }
     }
 
-    /// Whether its client seems to have been refused before: it has less time
-    /// left than the route gives.
-    fn is_returning(&self) -> bool {
+    /// Returns whether the client seems to retry after a refusal: its deadline leaves it
+    /// less time than the route's timeout.
+    fn is_client_retry(&self) -> bool {
         match (self.facts.deadline, self.route.timeout) {
-            (Some(left), Some(whole)) => left < whole.mul_f64(FIRST_TRY_PART),
+            (Some(remaining), Some(allowed)) => remaining < allowed.mul_f64(FIRST_TRY_FRACTION),
             _ => false,
         }
     }
 
+    /// Returns the model that the runner must have loaded; `None` if the service's runners
+    /// load no models or the request names none.
     fn wanted(&self) -> Option<ModelReference> {
         self.facts.model.clone().filter(|_| self.has_engine)
     }
 
-    /// Requests with the same model and shared parts have the same key.
+    /// Returns the key by which requests prefer the same runner: equal for requests with
+    /// the same model and the same shared prefix.
     fn affinity(&self) -> Option<u64> {
         let wanted = self.wanted()?;
         Some(barleyspar_domain::rank(&wanted, &self.facts.shared_prefix))
     }
 
-    /// What the runner is told along with the request.
+    /// Returns the values that the gateway adds to the request's headers for `runner`.
+    /// `last_event_id`: the last event that the client has, if a stream is resumed.
     pub fn forward(&self, runner: &Runner, last_event_id: Option<String>) -> Forward {
         Forward {
             runner: runner.name.clone(),
-            remaining: Some(self.left()),
+            remaining: Some(self.remaining_time()),
             priority: self.has_engine.then_some(self.priority()),
             last_event_id,
             tenant: self.tenant.as_ref().map(|tenant| tenant.name.clone()),
         }
     }
 
-    /// Whether another runner may be tried after one at which it may have run.
-    pub fn may_run_again(&self) -> bool {
+    /// Returns whether the request may be sent to another runner although it may have run
+    /// at one already.
+    pub fn may_retry(&self) -> bool {
         self.route.repeatable()
-            && self.runs < self.route.maximum_attempts
-            && self.left() > Duration::from_millis(50)
+            && self.possible_runs < self.route.maximum_attempts
+            && self.remaining_time() > Duration::from_millis(50)
     }
 
-    /// Until when a silent runner is waited for, given that there are `others`.
-    pub fn head_patience(&self, others: bool) -> Instant {
-        let another = self.route.repeatable() && self.runs + 1 < self.route.maximum_attempts;
-        if !(another && others) {
+    /// Returns the time until which the next attempt waits for the head of an answer. It is
+    /// the request's deadline unless there are `other_runners` and the request may be
+    /// sent to one of them after this attempt.
+    pub fn head_deadline(&self, other_runners: bool) -> Instant {
+        let may_run_again =
+            self.route.repeatable() && self.possible_runs + 1 < self.route.maximum_attempts;
+        if !(may_run_again && other_runners) {
             return self.deadline;
         }
-        self.deadline.min(Instant::now() + self.stall())
+        self.deadline.min(Instant::now() + self.stall_timeout())
     }
 
-    /// Time after which silence before the first byte is a failure.
-    pub fn stall(&self) -> Duration {
+    /// Returns the time without a first byte after which an attempt counts as failed.
+    pub fn stall_timeout(&self) -> Duration {
         let target = self.route.target_latency.unwrap_or_default();
         match self.route.kind {
-            RequestKind::Streaming => (target * 3 / 2).max(SHORTEST_STREAM_STALL),
-            _ => (target * 2).max(SHORTEST_STALL),
+            RequestKind::Streaming => (target * 3 / 2).max(MIN_STREAM_STALL_TIMEOUT),
+            _ => (target * 2).max(MIN_STALL_TIMEOUT),
         }
     }
 
-    /// Takes in an attempt that failed: the next one's kind, if there is one.
+    /// Records a failed attempt at `runner`. Returns the kind of the next attempt; `None`
+    /// if there must be none.
     pub fn after_failure(
         &mut self,
         runner: &Arc<Runner>,
@@ -315,17 +335,18 @@
         self.excluded.push(runner.id.clone());
         if !error.sent {
             self.unsent += 1;
-            return (self.unsent <= MOST_UNSENT).then_some(AttemptKind::Unsent);
+            return (self.unsent <= MAX_UNSENT).then_some(AttemptKind::Unsent);
         }
         if error.outcome == Outcome::Failed(Failure::Broken) {
-            self.connection_broke(runner, self.progress_without_head());
+            self.report_broken_connection(runner, self.progress_without_head());
         }
-        self.ran_at(&runner.id, error.verdict);
-        self.may_run_again().then_some(AttemptKind::Retry)
+        self.record_run(&runner.id, error.verdict);
+        self.may_retry().then_some(AttemptKind::Retry)
     }
 
-    /// How far the request has come at a runner that sent no head of an answer: a
-    /// stream's head comes when its runner begins to run it, others' with the answer.
+    /// Returns how far the request may have come at a runner that sent no head of an answer.
+    /// Runners send a stream's head when they start to run it, and any other head together
+    /// with the complete answer.
     fn progress_without_head(&self) -> Progress {
         match self.route.kind {
             RequestKind::Streaming => Progress::Queued,
@@ -333,46 +354,51 @@
         }
     }
 
-    /// The connection to `runner` broke, when the request had come so far there.
-    pub fn connection_broke(&mut self, runner: &Arc<Runner>, progress: Progress) {
+    /// Reports that the connection to `runner` broke, so that it is examined whether the
+    /// runner crashed. `progress`: how far the request had come there.
+    pub fn report_broken_connection(&mut self, runner: &Arc<Runner>, progress: Progress) {
         let fingerprint = self.outgoing.fingerprint;
-        let (broken, settled) = Broken::new(self.id().into(), fingerprint, progress);
-        self.unsettled = Some(settled);
+        let (broken, crash_finding) = Broken::new(self.id().into(), fingerprint, progress);
+        self.crash_finding = Some(crash_finding);
         self.context.crashes.broke(runner.clone(), broken);
     }
 
-    /// Waits, not for long, until it is known whether the runner that it lost last crashed
-    /// by it: sent on at once, it would take one more.
-    pub async fn settle(&mut self) {
-        if let Some(settled) = self.unsettled.take() {
-            // It is in quarantine then, or is not.
-            let _ = timeout(LONGEST_SETTLING, settled).await;
+    /// Waits, for at most [`CRASH_FINDING_TIMEOUT`], until it is known whether the request
+    /// crashed the runner to which the connection broke last. A request that crashes
+    /// runners would crash one more if it were sent on at once.
+    pub async fn await_crash_finding(&mut self) {
+        if let Some(crash_finding) = self.crash_finding.take() {
+            // The callers read the finding from the quarantine.
+            let _ = timeout(CRASH_FINDING_TIMEOUT, crash_finding).await;
         }
     }
 
-    /// Takes in that the request may have run at `runner`.
-    pub fn ran_at(&mut self, runner: &Arc<str>, verdict: Verdict) {
+    /// Records that the request ran or may have run at `runner`. The tenant's charge is
+    /// spent from then on, and further attempts go to other runners.
+    pub fn record_run(&mut self, runner: &Arc<str>, verdict: Verdict) {
         self.verdict = self.verdict.and(verdict);
         if let Some(charge) = &mut self.charge {
             charge.used();
         }
-        self.runs += 1;
+        self.possible_runs += 1;
         if !self.excluded.contains(runner) {
             self.excluded.push(runner.clone());
         }
     }
 
-    /// Takes in that `runner` refused to run it: whether to try another. One that asked
-    /// for a pause may have it after that.
+    /// Records that `runner` rejected the request without running it. Returns whether
+    /// another attempt is allowed. A runner that requested a pause is not excluded: it may
+    /// get the request after the pause.
     pub fn after_rejection(&mut self, runner: &Arc<str>, outcome: Outcome) -> bool {
         if outcome != Outcome::Paused {
             self.excluded.push(runner.clone());
         }
         self.rejections += 1;
-        self.rejections <= MOST_REJECTIONS
+        self.rejections <= MAX_REJECTIONS
     }
 
-    /// Says in the log how the request ended.
+    /// Records the end of the request in the log and the metrics. `status` is that of the
+    /// answer; 0 if the client left before it.
     pub fn end(&mut self, status: u16, reason: &str) {
         self.ended = true;
         if reason == journal::ANSWERED {
--- a/crates/gateway/src/inflight.rs
+++ b/crates/gateway/src/inflight.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::watch;
 
-/// Requests in flight.
+/// Counter of the callers' requests that have no complete answer yet.
 #[derive(Debug)]
 pub struct InFlight {
     count: watch::Sender<usize>,
@@ -18,19 +18,19 @@
     }
 }
 
-/// One request in flight, until it is dropped.
+/// Counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<InFlight>);
 
 impl InFlight {
-    /// Counts a request.
-    pub fn enter(self: &Arc<Self>) -> InFlightGuard {
+    /// Counts one more request until the returned guard is dropped.
+    pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
         self.count.send_modify(|count| *count += 1);
         InFlightGuard(self.clone())
     }
 
-    /// Waits until none is left.
-    pub async fn idle(&self) {
+    /// Waits until no request is in flight.
+    pub async fn wait_until_idle(&self) {
         let mut count = self.count.subscribe();
         // The sender lives as long as `self`.
         let _ = count.wait_for(|count| *count == 0).await;
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,7 +1,7 @@
-//! Log lines of decisions: one vocabulary for all of them.
+//! Log lines about requests and runners, with one vocabulary for all of them.
 //!
-//! `event` names the decision, `request` the client's attempt, `verdict`
-//! whether it may have run.
+//! The field `event` names the event or decision, `request` is the id of the client's
+//! attempt, and `verdict` says whether the request may have run.
 
 use std::time::Duration;
 
@@ -15,37 +15,37 @@
 use crate::crashes::Broken;
 use crate::dispatch::Permit;
 
-/// Reason of an end with the runner's whole answer.
+/// The `reason` of a request that ended with a runner's complete answer.
 pub const ANSWERED: &str = "answered";
 
-/// Milliseconds with fractions.
+/// Returns the duration in milliseconds, rounded to microseconds.
 pub fn milliseconds(duration: Duration) -> f64 {
     (duration.as_secs_f64() * 1e6).round() / 1e3
 }
 
-/// A request that was taken from a client.
+/// Values of the log line about an admitted request.
 pub struct Accepted<'a> {
-    /// Its id.
+    /// Id of the client's attempt.
     pub request: &'a str,
-    /// Its route.
+    /// The route that matches the request.
     pub route: &'a Route,
-    /// Version of the configuration that it was taken by.
+    /// Version of the configuration by which the request was admitted.
     pub version: u64,
-    /// The service that its traffic split chose.
+    /// The service that the route's traffic split chose.
     pub service: &'a str,
-    /// Its tenant, where callers have tenants.
+    /// Name of the caller's tenant; `None` if the route requires no tenant.
     pub tenant: Option<&'a str>,
-    /// What it asks for.
+    /// The model and adapter that the request names; `None` if it names none.
     pub wanted: Option<&'a ModelReference>,
-    /// Its rank.
+    /// The request's priority; 0 is the most urgent.
     pub priority: u8,
-    /// Units of its tenant's limit that it was granted.
+    /// Units charged to the tenant's quota; `None` if the tenant has no quota.
     pub cost: Option<u64>,
-    /// Time until its deadline.
-    pub left: Duration,
+    /// Time until the request's deadline.
+    pub remaining: Duration,
 }
 
-/// A request was taken from a client.
+/// Logs that a request was admitted.
 pub fn accepted(accepted: &Accepted<'_>) {
     let wanted = accepted.wanted;
     tracing::info!(
@@ -60,11 +60,11 @@
         adapter = wanted.and_then(|wanted| wanted.adapter.as_deref()),
         priority = accepted.priority,
         cost = accepted.cost,
-        left_ms = milliseconds(accepted.left)
+        left_ms = milliseconds(accepted.remaining)
     );
 }
 
-/// A request is not served under the credential that it carries.
+/// Logs that a request is not served with the credential that it carries.
 pub fn denied(context: &Context, facts: &RequestFacts, route: &Route, denial: Denial) {
     let table = context.routes.borrow();
     tracing::warn!(
@@ -74,12 +74,12 @@
         reason = ?denial,
         has_credential = facts.credential.is_some(),
         version = table.as_ref().map(|table| table.configuration().version),
-        knowledge_age_ms = context.knowledge_age().map(milliseconds)
+        knowledge_age_ms = context.view_staleness().map(milliseconds)
     );
 }
 
-/// A request's tenant is over its limit.
-pub fn limited(facts: &RequestFacts, tenant: &Tenant, cost: u64, wait: Duration) {
+/// Logs that a request was refused since its tenant's quota does not cover it for `wait`.
+pub fn over_quota(facts: &RequestFacts, tenant: &Tenant, cost: u64, wait: Duration) {
     tracing::warn!(
         event = "limited",
         request = facts.request_id.as_deref(),
@@ -91,7 +91,7 @@
     );
 }
 
-/// A runner was chosen.
+/// Logs which runner a request is sent to, after it waited for `waited`.
 pub fn chosen(request: &str, permit: &Permit, waited: Duration) {
     tracing::info!(
         event = "chosen",
@@ -104,8 +104,13 @@
     );
 }
 
-/// A request waits for a runner of `service`.
-pub fn waits(request: &str, service: &str, wanted: Option<&ModelReference>, priority: u8) {
+/// Logs that a request waits for a runner of `service`.
+pub fn waiting_for_runner(
+    request: &str,
+    service: &str,
+    wanted: Option<&ModelReference>,
+    priority: u8,
+) {
     tracing::info!(
         event = "waits",
         request,
@@ -116,7 +121,7 @@
     );
 }
 
-/// An attempt failed.
+/// Logs that an attempt ended without the head of an answer.
 pub fn attempt_failed(request: &str, runner: &str, error: &AttemptError) {
     tracing::warn!(
         event = "attempt_failed",
@@ -129,12 +134,13 @@
     );
 }
 
-/// A runner said that it failed to run the request.
+/// Logs that a runner answered a request with a failure of its own.
 pub fn runner_failed(request: &str, runner: &str, status: u16) {
     tracing::warn!(event = "runner_failed", request, runner, status);
 }
 
-/// A runner crashed while a request was there, which this node may have served lately.
+/// Logs that a runner crashed while a request was there. `served_lately`: whether this node
+/// served the same request lately, so that it is not blamed for the crash.
 pub fn runner_crashed(runner: &str, broken: &Broken, served_lately: bool) {
     tracing::warn!(
         event = "runner_crashed",
@@ -146,28 +152,29 @@
     );
 }
 
-/// A request is sent to no runner for this time, since it crashes runners; `source` is who
-/// said so.
-pub fn quarantined(request: Fingerprint, left: Duration, source: &'static str) {
+/// Logs that a request was quarantined for `remaining`, since it crashes runners. `source`
+/// says who decided or reported it.
+pub fn quarantined(request: Fingerprint, remaining: Duration, source: &'static str) {
     tracing::warn!(
         event = "quarantined",
         fingerprint = %request,
-        left_ms = milliseconds(left),
+        left_ms = milliseconds(remaining),
         source
     );
 }
 
-/// A try of a request in quarantine is not sent on.
-pub fn quarantine_met(request: &str, fingerprint: Fingerprint, left: Duration) {
+/// Logs that a quarantined request came again and is not sent to a runner.
+pub fn quarantine_applied(request: &str, fingerprint: Fingerprint, remaining: Duration) {
     tracing::warn!(
         event = "quarantine_met",
         request,
         %fingerprint,
-        left_ms = milliseconds(left)
+        left_ms = milliseconds(remaining)
     );
 }
 
-/// The limit that a runner is known to name has changed; `source` is who said so.
+/// Logs that the rate limit advertised by a runner changed. `source`: the runner itself or
+/// another node.
 pub fn runner_limit(change: &LimitChange, source: &'static str) {
     let per_second = |limit: Option<RunnerLimit>| limit.map(RunnerLimit::per_second);
     tracing::warn!(
@@ -179,18 +186,18 @@
     );
 }
 
-/// A runner said that it leaves; `source` is who said so.
-pub fn runner_leaves(runner: &str, source: &'static str) {
+/// Logs that a runner is draining. `source`: the runner itself or another node.
+pub fn runner_draining(runner: &str, source: &'static str) {
     tracing::warn!(event = "runner_leaves", runner, source);
 }
 
-/// A runner said in its answer to a `call` that it wants nothing of this node for a time.
-pub fn runner_pauses(runner: &str, call: &'static str, pause: Duration) {
+/// Logs that a runner, in its answer to a `call`, requested a pause from this node.
+pub fn runner_requested_pause(runner: &str, call: &'static str, pause: Duration) {
     let pause_ms = milliseconds(pause);
     tracing::warn!(event = "runner_pauses", runner, call, pause_ms);
 }
 
-/// The request was refused by the dispatcher.
+/// Logs that the dispatcher refused a runner to a request.
 pub fn refused(request: &str, refusal: Refusal, verdict: Verdict) {
     tracing::warn!(
         event = "refused",
@@ -201,23 +208,25 @@
     );
 }
 
-/// How a request ended.
+/// Values of the log line about the end of an admitted request.
 pub struct Ended<'a> {
-    /// Its id.
+    /// Id of the client's attempt.
     pub request: &'a str,
-    /// Status of its answer; 0 for none.
+    /// Status of the answer; 0 if the client left before it.
     pub status: u16,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Time since it came.
+    /// Time since the request arrived.
     pub took: Duration,
-    /// Of a stream: time until its first event, and its longest pause.
+    /// Time until the first event of a stream, and the longest gap between two events;
+    /// `None` if no event was sent.
     pub events: Option<(Duration, Duration)>,
-    /// Why it ended so.
+    /// Name of the reason for this end.
     pub reason: &'a str,
 }
 
-/// A request ended.
+/// Logs the end of an admitted request, as a warning unless a complete answer with a success
+/// status was sent.
 pub fn ended(ended: &Ended<'_>) {
     let Ended {
         request,
@@ -226,7 +235,9 @@
         ..
     } = *ended;
     let served = (200..300).contains(&status) && reason == ANSWERED;
-    let first_event_ms = ended.events.map(|(first, _)| milliseconds(first));
+    let first_event_ms = ended
+        .events
+        .map(|(first_event, _)| milliseconds(first_event));
     let longest_gap_ms = ended.events.map(|(_, gap)| milliseconds(gap));
     let took_ms = milliseconds(ended.took);
     let verdict = ended.verdict.as_str();
@@ -255,7 +266,7 @@
     }
 }
 
-/// The request ended before it was sent anywhere.
+/// Logs the end of a request that was not admitted.
 pub fn turned_away(request: &str, status: u16, verdict: Verdict, took: Duration, reason: &str) {
     tracing::warn!(
         event = "ended",
@@ -267,7 +278,7 @@
     );
 }
 
-/// A stream goes on at another runner.
+/// Logs that a stream is resumed at another runner, behind the event with the id `after`.
 pub fn resumed(request: &str, runner: &str, after: Option<&str>, cause: &str) {
     tracing::info!(event = "resumed", request, runner, after, cause);
 }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether the process runs or is being stopped.
+//! The stages through which the process goes from running to its end.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -6,61 +6,65 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A stage in the life of the process.
+/// A stage of the process; later stages compare greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It takes requests.
+    /// The process is ready and accepts requests.
     Running,
-    /// It was told to stop: not ready, but still takes requests.
+    /// The process was told to stop. It reports itself as not ready but still accepts
+    /// requests.
     Draining,
-    /// Requests that would not end in time are refused, and connections are
-    /// closed when they rest.
+    /// Requests that would not end in time are refused, and callers' idle connections are
+    /// closed.
     Closing,
 }
 
-/// A handle to the stage.
+/// Gives tasks access to the stage of the process and its deadline.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
     stage: watch::Receiver<Stage>,
-    ends_at: Arc<OnceLock<Instant>>,
+    deadline: Arc<OnceLock<Instant>>,
 }
 
 impl Lifecycle {
-    /// A running process, and the sender that ends it.
+    /// Creates the lifecycle of a running process, and the sender that changes its stage.
     pub fn running() -> (watch::Sender<Stage>, Self) {
         let (sender, stage) = watch::channel(Stage::Running);
-        let ends_at = Arc::default();
-        (sender, Self { stage, ends_at })
+        let deadline = Arc::default();
+        (sender, Self { stage, deadline })
     }
 
-    /// A process that is never stopped.
-    pub fn forever() -> Self {
+    /// Creates a lifecycle that stays in the stage `Running`, for listeners that serve until
+    /// the process ends.
+    pub fn never_stopped() -> Self {
         Self::running().1
     }
 
-    /// The stage now.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Sets when the process ends at the latest.
-    pub fn end_at(&self, at: Instant) {
-        // A process is stopped once; a second request changes nothing.
-        let _ = self.ends_at.set(at);
+    /// Sets the time at which the process ends at the latest. Only the first call has an
+    /// effect.
+    pub fn set_deadline(&self, at: Instant) {
+        // A process is stopped once; a second call changes nothing.
+        let _ = self.deadline.set(at);
     }
 
-    /// Time until the process ends at the latest.
-    pub fn time_left(&self) -> Duration {
-        self.ends_at.get().map_or(Duration::MAX, |at| {
+    /// Returns the time until the process ends at the latest; `Duration::MAX` if it is not
+    /// being stopped.
+    pub fn remaining_time(&self) -> Duration {
+        self.deadline.get().map_or(Duration::MAX, |at| {
             at.saturating_duration_since(Instant::now())
         })
     }
 
-    /// Waits until `stage` is reached.
+    /// Waits until `stage` or a later one is reached.
     pub async fn reached(&self, stage: Stage) {
         let mut receiver = self.stage.clone();
         if receiver.wait_for(|now| *now >= stage).await.is_err() {
-            // Nobody is left who could end the process.
+            // Without a sender the stage never changes.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/gateway/src/lifecycle_tests.rs
+++ b/crates/gateway/src/lifecycle_tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the process's stages.
+//! Tests of the stages of the process.
 
 use std::time::Duration;
 
 use super::{Lifecycle, Stage};
 
-/// Found on a calm day: a third of the readiness questions got no answer, since
-/// the stage of a process that is never stopped counted as reached at once.
+/// Guards against readiness checks without an answer: a third of them got none when each
+/// stage counted as reached for a lifecycle whose sender is dropped.
 #[tokio::test(start_paused = true)]
 async fn a_process_that_is_never_stopped_reaches_no_stage() {
-    let forever = Lifecycle::forever();
-    let reached = forever.reached(Stage::Closing);
+    let lifecycle = Lifecycle::never_stopped();
+    let reached = lifecycle.reached(Stage::Closing);
     let waited = tokio::time::timeout(Duration::from_secs(60), reached).await;
     assert!(waited.is_err());
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Figures of a gateway, in Prometheus' text format. All labels have few values.
+//! Metrics of a gateway, in the Prometheus text format. Each label has few values, so that
+//! the number of time series stays small.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// Upper bounds of the buckets of times, in seconds.
+/// Upper bounds of the buckets of histograms of times, in seconds.
 const TIME_BUCKETS: [f64; 12] = [
     0.005, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.5, 3.0, 6.0, 15.0, 30.0,
 ];
 
-/// Labels of a request's end.
+/// Labels of requests that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabels {
     kind: &'static str,
@@ -25,33 +26,33 @@
     reason: String,
 }
 
-/// Labels of a request that was turned away before a runner was looked for.
+/// Labels of requests that were not admitted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabels {
     reason: &'static str,
 }
 
-/// Labels of a request's time.
+/// Labels of the durations of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabels {
     kind: &'static str,
 }
 
-/// Labels of a call.
+/// Labels of calls: the name of the call and how it ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
     call: &'static str,
     outcome: &'static str,
 }
 
-/// Labels of a connection to a runner that broke under a request.
+/// Labels of connections to runners that broke during a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct BrokenLabels {
     progress: &'static str,
     cause: &'static str,
 }
 
-/// The figures.
+/// The metrics of one gateway process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -72,7 +73,7 @@
     nodes: Gauge,
 }
 
-fn times() -> Histogram {
+fn time_histogram() -> Histogram {
     Histogram::new(TIME_BUCKETS)
 }
 
@@ -83,16 +84,16 @@
             requests: Family::default(),
             turned_away: Family::default(),
             quota_decisions: Family::default(),
-            request_seconds: Family::new_with_constructor(times),
+            request_seconds: Family::new_with_constructor(time_histogram),
             attempts: Family::default(),
             limited_answers: Family::default(),
             runner_notices: Family::default(),
             broken: Family::default(),
             store_calls: Family::default(),
-            store_seconds: times(),
+            store_seconds: time_histogram(),
             orders: Family::default(),
             configuration_version: Gauge::default(),
-            knowledge_old_seconds: times(),
+            knowledge_old_seconds: time_histogram(),
             leading: Gauge::default(),
             nodes: Gauge::default(),
         };
@@ -102,6 +103,7 @@
 }
 
 impl Metrics {
+    /// Registers all metrics under their names and help texts.
     fn register(&mut self) {
         let registry = &mut self.registry;
         registry.register("requests", "Requests ended", self.requests.clone());
@@ -168,21 +170,22 @@
         registry.register("nodes", "Nodes that share limits", self.nodes.clone());
     }
 
-    /// A request was turned away before a runner was looked for.
+    /// Counts a request that was not admitted, by the reason.
     pub fn turned_away(&self, reason: &'static str) {
         self.turned_away
             .get_or_create(&ReasonLabels { reason })
             .inc();
     }
 
-    /// A request of a limited tenant was decided on: `call` says by whom.
+    /// Counts a decision on a quota or rate limit. `call` says who made it: the limit owner
+    /// or this node's reserve.
     pub fn quota_decided(&self, call: &'static str, outcome: &'static str) {
         self.quota_decisions
             .get_or_create(&CallLabels { call, outcome })
             .inc();
     }
 
-    /// A request ended.
+    /// Counts the end of an admitted request and records how long it took.
     pub fn request_ended(
         &self,
         kind: RequestKind,
@@ -203,65 +206,70 @@
             .observe(seconds);
     }
 
-    /// An attempt at a runner ended.
+    /// Counts the end of an attempt at a runner. `outcome` says whether the request may have
+    /// run.
     pub fn attempt_ended(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.attempts.get_or_create(&labels).inc();
     }
 
-    /// A runner that is known to name a limit answered a `call`, or one named a limit.
-    pub fn limited_answer(&self, call: &'static str, named: bool) {
-        let outcome = if named { "named" } else { "not_named" };
+    /// Counts an answer to a `call` that advertised the runner's rate limit, or was expected
+    /// to: `advertised` says whether it did.
+    pub fn limit_answer(&self, call: &'static str, advertised: bool) {
+        let outcome = if advertised { "named" } else { "not_named" };
         let labels = CallLabels { call, outcome };
         self.limited_answers.get_or_create(&labels).inc();
     }
 
-    /// A runner said in its answer to a `call` that it leaves, or that it wants a pause.
-    pub fn runner_notice(&self, call: &'static str, outcome: &'static str) {
+    /// Counts an answer to a `call` with a signal of the runner: that it is draining, or
+    /// requests a pause.
+    pub fn runner_signal(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.runner_notices.get_or_create(&labels).inc();
     }
 
-    /// A connection to a runner broke under a request that had come so far.
+    /// Counts a connection to a runner that broke during a request. `progress`: how far the
+    /// request had come; `cause`: whether the runner crashed.
     pub fn attempt_broke(&self, progress: &'static str, cause: &'static str) {
         let labels = BrokenLabels { progress, cause };
         self.broken.get_or_create(&labels).inc();
     }
 
-    /// A call to the store ended.
+    /// Counts a call to the store and records how long it took.
     pub fn store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
         let labels = CallLabels { call, outcome };
         self.store_calls.get_or_create(&labels).inc();
         self.store_seconds.observe(took.as_secs_f64());
     }
 
-    /// An order was answered, or not.
+    /// Counts an order to a runner. `outcome`: the runner's answer, or that there was none.
     pub fn order(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.orders.get_or_create(&labels).inc();
     }
 
-    /// A configuration is in force.
+    /// Sets the version of the configuration in force.
     pub fn configuration(&self, version: u64) {
         self.configuration_version.set(version);
     }
 
-    /// What this node knows of the store is current again after `lasted`.
+    /// Records that this node's view of the store is current again after it was stale for
+    /// `lasted`.
     pub fn knowledge_current(&self, lasted: Duration) {
         self.knowledge_old_seconds.observe(lasted.as_secs_f64());
     }
 
-    /// This node began to order runners, or no longer does.
+    /// Sets whether this node is the placement leader.
     pub fn leads(&self, leads: bool) {
         self.leading.set(i64::from(leads));
     }
 
-    /// The number of nodes that share limits changed.
+    /// Sets the number of nodes over which cluster-wide limits are divided.
     pub fn nodes(&self, nodes: usize) {
         self.nodes.set(nodes as i64);
     }
 
-    /// All figures as text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -270,7 +278,7 @@
     }
 }
 
-/// The kind's name in labels.
+/// Returns the name of the kind of requests in labels.
 fn kind_name(kind: RequestKind) -> &'static str {
     match kind {
         RequestKind::Idempotent => "idempotent",
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,5 @@
-//! Starts a gateway and ends it.
+//! Starts a gateway: builds its shared state, spawns its tasks and opens its listeners.
+//! Stops it on SIGTERM, with a grace period for requests in flight.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -33,49 +34,50 @@
 use crate::store::Store;
 use crate::{crashes, dispatch, feed, peers, quota, rate_permits, readiness, register, request};
 
-/// Changes of the store that may wait to be taken in.
-const CHANGES: usize = 64;
-/// Descriptors kept for runners, the store and files.
-const OTHER_DESCRIPTORS: usize = 1200;
-/// Fewest callers' connections.
-const FEWEST_CONNECTIONS: usize = 64;
-/// Time after the request to stop in which new connections may still come.
-const STILL_FOUND: Duration = Duration::from_millis(2600);
-/// Time before the kill at which what is left is cut.
+/// Capacity of the queue of batches of changes from the feed.
+const CHANGE_QUEUE: usize = 64;
+/// File descriptors reserved for connections to runners and the store, and for files.
+const RESERVED_DESCRIPTORS: usize = 1200;
+/// Lower bound of the number of callers' connections, and the limit of the metrics listener.
+const MIN_CONNECTIONS: usize = 64;
+/// Time after the signal to stop in which load balancers may still open new connections.
+const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(2600);
+/// Time before the end of the grace period at which the remaining requests are cut off.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Time between two looks at the settings when nobody says that they changed.
-const SETTINGS_CHECK: Duration = Duration::from_secs(5);
-/// Time between two looks at idle connections.
-const SWEEP: Duration = Duration::from_secs(2);
+/// Interval at which the settings are read again without a SIGHUP.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which idle connections are checked for expiry.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why a gateway could not run.
+/// Reason why a gateway could not be started.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address could not be used.
+    /// An address of the settings could not be bound.
     #[error("{what} {address}: {cause}")]
     Address {
-        /// What the address is for.
+        /// What the gateway needs the address for.
         what: &'static str,
-        /// The address.
+        /// The address with its port.
         address: String,
-        /// Why.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// Signals cannot be taken.
-    #[error("signals: {0}")]
+    /// The handlers for SIGTERM and SIGHUP could not be installed.
+    #[error("cannot handle signals: {0}")]
     Signals(io::Error),
 }
 
-/// How models are placed: what operators and those who measure decide.
+/// Options of model placement: the operators' policy, and switches for measurements.
 #[derive(Debug)]
 pub struct Placing {
-    /// How many replicas a model may have.
+    /// The policy program, which decides how many replicas a model may have.
     pub policy: Program,
-    /// What is switched off.
+    /// Parts of the planner that are switched off, to measure their effect.
     pub switches: Switches,
 }
 
 impl Placing {
+    /// Completes the planner's settings with the limits on the rate of loads.
     fn with_pace(self, pace: PaceLimits) -> PlannerSettings {
         PlannerSettings {
             policy: self.policy,
@@ -85,7 +87,8 @@
     }
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until it has stopped after a SIGTERM. `read_settings` reads the settings
+/// again: at each SIGHUP and at an interval.
 pub async fn run(
     read_settings: impl Fn() -> Result<NodeSettings, String> + Send + 'static,
     settings: NodeSettings,
@@ -96,7 +99,7 @@
     let hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
     let gateway = Gateway::start(settings, dialect, placing, Arc::new(Sockets)).await?;
     let dispatch = gateway.context.dispatch.clone();
-    let limits = budget(&gateway.context.settings);
+    let limits = retry_budget(&gateway.context.settings);
     crate::tasks::spawn(follow_settings(hangup, read_settings, limits, dispatch));
     let _ = terminate.recv().await;
     tracing::info!(event = "stopping", reason = "SIGTERM");
@@ -105,14 +108,15 @@
     Ok(())
 }
 
-/// A running gateway.
+/// A running gateway, in production or in a run in virtual time.
 pub struct Gateway {
     context: Context,
     stage: watch::Sender<Stage>,
 }
 
 impl Gateway {
-    /// Starts a gateway's tasks on the current runtime.
+    /// Starts a gateway's tasks on the current runtime and returns when its listeners are
+    /// open.
     pub async fn start(
         settings: NodeSettings,
         dialect: Arc<dyn Dialect>,
@@ -124,15 +128,16 @@
         Ok(Self { context, stage })
     }
 
-    /// Serves on until nothing comes any more, then until nothing is left or
-    /// the grace period is over.
+    /// Stops the gateway in order. It still accepts requests while load balancers may send
+    /// some, then waits until no request is in flight or the grace period is over.
     pub async fn stop(&self) {
         drain(&self.context, &self.stage).await;
     }
 }
 
-/// Reads the settings anew when told to, and now and then; what can change
-/// while the process runs is put in force, faulty settings are not.
+/// Reads the settings again at each SIGHUP and every [`SETTINGS_INTERVAL`], and applies the
+/// retry budget in them, which can change while the process runs. Faulty settings are logged
+/// and ignored.
 async fn follow_settings(
     mut hangup: Signal,
     read_settings: impl Fn() -> Result<NodeSettings, String>,
@@ -140,15 +145,15 @@
     dispatch: DispatchHandle,
 ) {
     loop {
-        let told = timeout(SETTINGS_CHECK, hangup.recv()).await.is_ok();
+        let told = timeout(SETTINGS_INTERVAL, hangup.recv()).await.is_ok();
         match read_settings() {
             Err(cause) => tracing::warn!(event = "settings_rejected", cause),
             Ok(settings) => {
-                let newer = budget(&settings);
-                let changed = newer != limits;
+                let new_limits = retry_budget(&settings);
+                let changed = new_limits != limits;
                 if changed {
-                    limits = newer;
-                    dispatch.set_limits(limits);
+                    limits = new_limits;
+                    dispatch.set_budget_limits(limits);
                 }
                 if told || changed {
                     tracing::info!(event = "settings_read", told, changed);
@@ -158,16 +163,18 @@
     }
 }
 
+/// Takes the process through its stages until it may end.
 async fn drain(context: &Context, stage: &watch::Sender<Stage>) {
     let deadline = Instant::now() + context.settings.bounds.grace_period - KILL_MARGIN;
-    context.lifecycle.end_at(deadline);
+    context.lifecycle.set_deadline(deadline);
     stage.send_replace(Stage::Draining);
-    sleep(STILL_FOUND).await;
+    sleep(NEW_CONNECTIONS_PERIOD).await;
     stage.send_replace(Stage::Closing);
-    let left = deadline.saturating_duration_since(Instant::now());
-    let _ = timeout(left, context.requests.idle()).await;
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let _ = timeout(remaining, context.requests_in_flight.wait_until_idle()).await;
 }
 
+/// Builds the shared state, opens the listeners and spawns all tasks.
 async fn start(
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
@@ -178,15 +185,15 @@
     let settings = Arc::new(settings);
     let urgent = Arc::new(Notify::new());
     let (routes_sender, routes) = watch::channel(None);
-    let (confirmed_sender, confirmed) = watch::channel(None);
+    let (confirmed_sender, confirmed_at) = watch::channel(None);
     let (quota, quota_inbox) = quota::channel();
     let (crashes, crash_inbox) = crashes::channel();
-    let (rate_permits, rate_permits_wanted) = mpsc::unbounded_channel();
+    let (rate_permits, rate_permit_requests) = mpsc::unbounded_channel();
     let now = Instant::now().into_std();
     let dispatcher = Dispatcher::new(
         settings.name.clone(),
         settings.zone.clone(),
-        budget(&settings),
+        retry_budget(&settings),
         Site {
             regions: settings.regions.clone(),
             cold: settings.bounds.cold,
@@ -199,14 +206,14 @@
         settings: settings.clone(),
         started: Instant::now(),
         routes,
-        confirmed,
+        confirmed_at,
         quota,
-        access: AccessBounds::new(&settings.bounds),
+        access_bounds: AccessBounds::new(&settings.bounds),
         dispatch: dispatch::start(dispatcher, urgent.clone(), rate_permits),
         crashes,
         pool: Arc::default(),
         lifecycle,
-        requests: Arc::default(),
+        requests_in_flight: Arc::default(),
         metrics: Arc::default(),
         body_memory: body_memory(settings.limits.memory_bytes),
     };
@@ -221,21 +228,21 @@
     let (leader_sender, leader) = watch::channel(None);
     let (settled_era_sender, settled_era) = watch::channel(0);
     let (held, lease) = watch::channel(None);
-    let (changes_sender, changes) = mpsc::channel(CHANGES);
+    let (changes_sender, changes) = mpsc::channel(CHANGE_QUEUE);
 
     let socket = network
         .datagrams(settings.peer_address)
         .await
         .map_err(|cause| address_error("peer address", settings.peer_address, cause))?;
-    let followers = network
+    let follower_listener = network
         .listen(settings.peer_address)
         .await
         .map_err(|cause| address_error("peer address", settings.peer_address, cause))?;
-    let callers = network
+    let caller_listener = network
         .listen(settings.caller_address)
         .await
         .map_err(|cause| address_error("caller address", settings.caller_address, cause))?;
-    let questions = network
+    let readiness_listener = network
         .listen(settings.readiness_address)
         .await
         .map_err(|cause| address_error("readiness address", settings.readiness_address, cause))?;
@@ -264,7 +271,7 @@
         evacuated: BTreeMap::new(),
     };
     let heard = peer_handle.heard();
-    let feed_heard = peer_handle.heard();
+    let feed_peers = peer_handle.heard();
     let pace = PaceLimits {
         window: settings.bounds.load_window,
         overage: settings.bounds.load_overage,
@@ -300,11 +307,11 @@
     let feed_task = FeedTask::new(
         context.clone(),
         store.separate(),
-        feed_heard,
+        feed_peers,
         feed_state,
         changes_sender,
     );
-    crate::tasks::spawn(feed::serve(followers, feed_seen.clone()));
+    crate::tasks::spawn(feed::serve(follower_listener, feed_seen.clone()));
     crate::tasks::spawn(feed_task.run());
     crate::tasks::spawn(register::register(
         store,
@@ -315,17 +322,20 @@
     crate::tasks::spawn(placement_task.run());
     crate::tasks::spawn(quota_task.run());
     crate::tasks::spawn(CrashTask::new(context.clone(), crash_inbox).run());
-    crate::tasks::spawn(rate_permits::ask(context.clone(), rate_permits_wanted));
+    crate::tasks::spawn(rate_permits::serve_requests(
+        context.clone(),
+        rate_permit_requests,
+    ));
     crate::tasks::spawn(lease_keeper.run());
-    crate::tasks::spawn(sweep(context.clone()));
+    crate::tasks::spawn(close_expired_connections(context.clone()));
     if let Some(address) = settings.metrics_address {
-        let figures = network
+        let metrics_listener = network
             .listen(address)
             .await
             .map_err(|cause| address_error("metrics address", address, cause))?;
-        serve_figures(&context, figures);
+        serve_metrics(&context, metrics_listener);
     }
-    serve(&context, callers, questions);
+    serve(&context, caller_listener, readiness_listener);
     tracing::info!(
         event = "started",
         zone = &*settings.zone,
@@ -345,7 +355,8 @@
     }
 }
 
-fn budget(settings: &NodeSettings) -> BudgetLimits {
+/// Returns the limits of the retry budget in the settings.
+fn retry_budget(settings: &NodeSettings) -> BudgetLimits {
     BudgetLimits {
         ratio: settings.bounds.retry_ratio,
         window: settings.bounds.retry_window,
@@ -353,11 +364,16 @@
     }
 }
 
-fn serve(context: &Context, callers: Box<dyn Listener>, questions: Box<dyn Listener>) {
+/// Spawns the tasks that serve callers' requests and readiness checks.
+fn serve(
+    context: &Context,
+    caller_listener: Box<dyn Listener>,
+    readiness_listener: Box<dyn Listener>,
+) {
     let descriptors = context.settings.limits.descriptors as usize;
     let connections = descriptors
-        .saturating_sub(OTHER_DESCRIPTORS)
-        .max(FEWEST_CONNECTIONS);
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        .max(MIN_CONNECTIONS);
     let limits_context = context.clone();
     let limits = move || {
         let routes = limits_context.routes.borrow();
@@ -371,43 +387,59 @@
             idle_timeout: limits.idle_timeout,
         }
     };
-    let serving = context.clone();
+    let request_context = context.clone();
     let handle = move |request| {
-        let context = serving.clone();
+        let context = request_context.clone();
         request::serve(context, request)
     };
     let lifecycle = context.lifecycle.clone();
     let caller_limits = limits.clone();
-    crate::tasks::spawn(listener::serve(callers, caller_limits, lifecycle, handle));
-    let asked = context.clone();
+    crate::tasks::spawn(listener::serve(
+        caller_listener,
+        caller_limits,
+        lifecycle,
+        handle,
+    ));
+    let readiness_context = context.clone();
     let answer = move |request| {
-        let context = asked.clone();
+        let context = readiness_context.clone();
         async move { readiness::answer(&context, &request) }
     };
-    let forever = Lifecycle::forever();
-    crate::tasks::spawn(listener::serve(questions, limits, forever, answer));
+    let never_stopped = Lifecycle::never_stopped();
+    crate::tasks::spawn(listener::serve(
+        readiness_listener,
+        limits,
+        never_stopped,
+        answer,
+    ));
 }
 
-/// Serves the figures on an address of their own.
-fn serve_figures(context: &Context, figures: Box<dyn Listener>) {
+/// Spawns the task that serves the metrics, on an address of its own.
+fn serve_metrics(context: &Context, metrics_listener: Box<dyn Listener>) {
     let limits = || ListenerLimits {
-        connections: FEWEST_CONNECTIONS,
+        connections: MIN_CONNECTIONS,
         header_bytes: 0,
         idle_timeout: Duration::from_secs(15),
     };
-    let asked = context.clone();
+    let metrics_context = context.clone();
     let answer = move |_request| {
-        let text = asked.metrics.text();
+        let text = metrics_context.metrics.text();
         async move { http::Response::new(AnswerBody::whole(text)) }
     };
-    let forever = Lifecycle::forever();
-    crate::tasks::spawn(listener::serve(figures, limits, forever, answer));
+    let never_stopped = Lifecycle::never_stopped();
+    crate::tasks::spawn(listener::serve(
+        metrics_listener,
+        limits,
+        never_stopped,
+        answer,
+    ));
 }
 
-/// Closes connections that rest too long.
-async fn sweep(context: Context) {
+/// Closes connections to runners that exceed their idle limit, for as long as the process
+/// runs.
+async fn close_expired_connections(context: Context) {
     loop {
-        sleep(SWEEP).await;
-        context.pool.sweep();
+        sleep(IDLE_CHECK_INTERVAL).await;
+        context.pool.close_expired();
     }
 }
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,5 +1,5 @@
-//! What runners say of themselves in their answers: one place hears it, whatever was
-//! asked of them.
+//! Applies the signals that runners send in the headers of their answers (rate limit,
+//! draining, requested pause), whatever call the answer belongs to.
 
 use barleyspar_catalog::{AnswerFacts, Runner, RunnerNotice};
 use barleyspar_dispatch::AdvertisedLimit;
@@ -9,21 +9,23 @@
 use crate::context::Context;
 use crate::journal;
 
-/// An answer of a runner, as far as it speaks of the runner.
+/// The call to which an answer with signals belongs.
 pub struct Heard<'a> {
-    /// The runner that was asked.
+    /// The runner to which the call was sent.
     pub asked: &'a Runner,
-    /// What was asked of it, for figures.
+    /// Name of the call in metrics and log lines.
     pub call: &'static str,
-    /// When it was asked.
+    /// When the call was sent.
     pub sent_at: Instant,
-    /// Whether it names its limit in each answer of this kind, as long as it has one.
+    /// Whether a runner with a rate limit advertises it in each answer to this call, so
+    /// that an answer without one means that there is none.
     pub always_limited: bool,
 }
 
-/// Takes in what the head of an answer says of the runner that was asked.
-pub fn hear(context: &Context, heard: &Heard<'_>, status: StatusCode, facts: &AnswerFacts) {
-    if !answers_itself(heard.asked, status, facts) {
+/// Applies the signals in the head of an answer. Ignores those of an answer that another
+/// runner gave.
+pub fn hear(context: &Context, call: &Heard<'_>, status: StatusCode, facts: &AnswerFacts) {
+    if !is_from_called_runner(call.asked, status, facts) {
         return;
     }
     let RunnerNotice {
@@ -31,42 +33,45 @@
         leaves,
         pause,
     } = facts.notice;
-    if limit.is_some() || heard.always_limited {
-        hear_limit(context, heard, facts);
+    if limit.is_some() || call.always_limited {
+        apply_limit(context, call, facts);
     }
     if leaves {
-        context.metrics.runner_notice(heard.call, "leaves");
-        context.dispatch.hear_leaving(heard.asked.id.clone());
+        context.metrics.runner_signal(call.call, "leaves");
+        context.dispatch.mark_draining(call.asked.id.clone());
     }
     if let Some(pause) = pause {
-        context.metrics.runner_notice(heard.call, "pause");
-        journal::runner_pauses(&heard.asked.id, heard.call, pause);
-        context.dispatch.hear_pause(heard.asked.id.clone(), pause);
+        context.metrics.runner_signal(call.call, "pause");
+        journal::runner_requested_pause(&call.asked.id, call.call, pause);
+        context
+            .dispatch
+            .set_requested_pause(call.asked.id.clone(), pause);
     }
 }
 
-/// Whether the answer comes from the runner that was asked: a misdirected request may be
-/// answered by another one, at an address that has changed hands.
-fn answers_itself(asked: &Runner, status: StatusCode, facts: &AnswerFacts) -> bool {
+/// Returns whether the answer comes from the runner that was called. A misdirected request
+/// may be answered by another runner, at an address that was assigned to it since.
+fn is_from_called_runner(called: &Runner, status: StatusCode, facts: &AnswerFacts) -> bool {
     match &facts.runner {
-        Some(answering) => **answering == *asked.name,
+        Some(answering) => **answering == *called.name,
         None => status != StatusCode::MISDIRECTED_REQUEST,
     }
 }
 
-/// Takes in what an answer says of its runner's limit. One without a limit speaks for
-/// the moment at which the call was sent: an answer that names one may have overtaken it.
-fn hear_limit(context: &Context, heard: &Heard<'_>, facts: &AnswerFacts) {
+/// Applies the rate limit in an answer, or its absence. Absence counts as of the time at
+/// which the call was sent, since an answer that advertises a limit may have overtaken this
+/// one.
+fn apply_limit(context: &Context, call: &Heard<'_>, facts: &AnswerFacts) {
     let limit = facts.notice.limit;
-    context.metrics.limited_answer(heard.call, limit.is_some());
+    context.metrics.limit_answer(call.call, limit.is_some());
     let at = if limit.is_some() {
         Instant::now()
     } else {
-        heard.sent_at
+        call.sent_at
     };
     let at = at.into_std();
-    let runner = heard.asked.id.clone();
+    let runner = call.asked.id.clone();
     context
         .dispatch
-        .hear_limit(runner, AdvertisedLimit { limit, at });
+        .apply_limit(runner, AdvertisedLimit { limit, at });
 }
--- a/crates/gateway/src/rate_permits.rs
+++ b/crates/gateway/src/rate_permits.rs
@@ -1,5 +1,5 @@
-//! Permits to call rate-limited runners: asks the owners of their limits for the
-//! dispatcher, and for the leader's own calls.
+//! Requests permits to call rate-limited runners from the limit owners, for the dispatcher
+//! and for the placement leader's own calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,24 +9,29 @@
 use tokio::sync::mpsc;
 
 use crate::context::Context;
-use crate::dispatch::RatePermitWanted;
+use crate::dispatch::RatePermitRequest;
 use crate::quota::QuotaDecision;
 
-/// Time until an owner that gave no answer is asked again.
+/// Time until a limit owner that did not answer is asked again.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(150);
 
-/// Asks for what comes from `wanted` until the process ends.
-pub async fn ask(context: Context, mut wanted: mpsc::UnboundedReceiver<RatePermitWanted>) {
-    while let Some((runner, limit)) = wanted.recv().await {
+/// Sends the dispatcher's requests for permits to the limit owners, and the answers to the
+/// dispatcher, until the process ends.
+pub async fn serve_requests(
+    context: Context,
+    mut requests: mpsc::UnboundedReceiver<RatePermitRequest>,
+) {
+    while let Some((runner, limit)) = requests.recv().await {
         let context = context.clone();
         crate::tasks::spawn(async move {
             let answer = permit(&context, &runner, limit).await;
-            context.dispatch.take_rate_permit(runner, answer);
+            context.dispatch.apply_rate_permit(runner, answer);
         });
     }
 }
 
-/// Asks for a permit to call `runner` once, which named `limit`.
+/// Requests a permit for one call to `runner`, which advertised `limit`. If the limit owner
+/// does not answer, the permit is denied for [`UNANSWERED_PAUSE`].
 pub async fn permit(context: &Context, runner: &Arc<str>, limit: RunnerLimit) -> RatePermitAnswer {
     match context.quota.admit_call(runner.clone(), limit).await {
         QuotaDecision::Granted => RatePermitAnswer::Granted,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes runners' answers on to clients.
+//! Relays runners' answers that are not event streams to clients.
 
 use barleyspar_callers::Progress;
 use barleyspar_dispatch::{Failure, Outcome};
@@ -13,51 +13,54 @@
 use crate::journal;
 use crate::trust;
 
-/// Bytes of an answer that are collected before it is passed on.
-pub const WHOLE_ANSWER_BYTES: usize = 256 * 1024;
+/// Length in bytes up to which an answer is collected completely before it is sent on.
+pub const MAX_COLLECTED_BYTES: usize = 256 * 1024;
 
-/// What became of an answer that is not a stream.
+/// Result of collecting a runner's answer.
 pub enum Relayed {
-    /// It goes to the client.
+    /// The complete answer, to be sent to the client.
     Answer(Response<AnswerBody>),
-    /// The runner says that it failed; this is what it said.
+    /// The complete answer, with which the runner reports a failure of its own.
     Failed(Response<AnswerBody>),
-    /// It is too long to be collected: what was read, and the rest.
-    Pieces(Bytes, Box<Answered>),
-    /// It broke off.
+    /// The answer exceeds [`MAX_COLLECTED_BYTES`]: the bytes read so far, and the
+    /// attempt from which the others are to be read.
+    TooLong(Bytes, Box<Answered>),
+    /// The connection broke, or the request's deadline passed.
     Broken,
 }
 
-/// What comes next of an answer's body.
-enum Piece {
-    /// Some of it.
+/// Result of one read from the body of a runner's answer.
+enum Chunk {
+    /// The next bytes of the body.
     Data(Bytes),
-    /// Its end.
+    /// The body is complete.
     End,
-    /// The connection broke, or the request's time is up.
+    /// The connection broke, or the request's deadline passed.
     Broken,
 }
 
-async fn next_piece(exchange: &mut Exchange, answered: &mut Answered) -> Piece {
+/// Reads the next bytes of the body of a runner's answer.
+async fn next_chunk(exchange: &mut Exchange, answered: &mut Answered) -> Chunk {
     match timeout_at(exchange.deadline, answered.body.frame()).await {
-        Ok(Some(Ok(frame))) => Piece::Data(frame.into_data().unwrap_or_default()),
-        Ok(None) => Piece::End,
+        Ok(Some(Ok(frame))) => Chunk::Data(frame.into_data().unwrap_or_default()),
+        Ok(None) => Chunk::End,
         Ok(Some(Err(_))) => {
-            exchange.connection_broke(answered.permit.runner(), Progress::Answering);
-            Piece::Broken
+            exchange.report_broken_connection(answered.permit.runner(), Progress::Answering);
+            Chunk::Broken
         }
-        Err(_) => Piece::Broken,
+        Err(_) => Chunk::Broken,
     }
 }
 
-/// Collects an answer and passes it on whole.
-pub async fn whole(exchange: &mut Exchange, mut answered: Answered) -> Relayed {
+/// Reads the runner's answer completely, unless it is too long, and ends the attempt.
+/// Ends the request too if the answer is good.
+pub async fn collect(exchange: &mut Exchange, mut answered: Answered) -> Relayed {
     let mut collected = BytesMut::new();
     loop {
-        match next_piece(exchange, &mut answered).await {
-            Piece::Data(data) => collected.extend_from_slice(&data),
-            Piece::End => break,
-            Piece::Broken => {
+        match next_chunk(exchange, &mut answered).await {
+            Chunk::Data(data) => collected.extend_from_slice(&data),
+            Chunk::End => break,
+            Chunk::Broken => {
                 tracing::info!(
                     event = "answer_broken",
                     request = exchange.id(),
@@ -67,12 +70,12 @@
                 return Relayed::Broken;
             }
         }
-        if collected.len() > WHOLE_ANSWER_BYTES {
-            return Relayed::Pieces(collected.freeze(), Box::new(answered));
+        if collected.len() > MAX_COLLECTED_BYTES {
+            return Relayed::TooLong(collected.freeze(), Box::new(answered));
         }
     }
     let failed = answered.status.is_server_error();
-    let response = head(exchange, &answered, AnswerBody::whole(collected.freeze()));
+    let response = build_response(exchange, &answered, AnswerBody::whole(collected.freeze()));
     let outcome = if failed {
         Outcome::Failed(Failure::Error)
     } else {
@@ -84,7 +87,7 @@
         let runner = &answered.permit.runner().id;
         journal::runner_failed(exchange.id(), runner, answered.status.as_u16());
     }
-    finish(exchange, answered, outcome);
+    finish_attempt(exchange, answered, outcome);
     if failed {
         return Relayed::Failed(response);
     }
@@ -92,18 +95,24 @@
     Relayed::Answer(response)
 }
 
-/// The head of the runner's answer, with a body.
-pub fn head(exchange: &Exchange, answered: &Answered, body: AnswerBody) -> Response<AnswerBody> {
+/// Builds the response for the client: the runner's status, those of its headers that
+/// callers may get, and `body`.
+pub fn build_response(
+    exchange: &Exchange,
+    answered: &Answered,
+    body: AnswerBody,
+) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.status_mut() = answered.status;
     let dialect = &*exchange.context.dialect;
     *response.headers_mut() =
-        trust::to_caller(|name| dialect.header_owner(name), &answered.headers);
+        trust::headers_to_caller(|name| dialect.header_owner(name), &answered.headers);
     response
 }
 
-/// Ends an attempt after a whole answer and keeps its connection.
-pub fn finish(exchange: &Exchange, answered: Answered, outcome: Outcome) {
+/// Ends an attempt whose answer was read completely: reports `outcome` and returns the
+/// connection to the pool.
+pub fn finish_attempt(exchange: &Exchange, answered: Answered, outcome: Outcome) {
     let runner = answered.permit.runner().id.clone();
     exchange.context.pool.put_back(
         &runner,
@@ -113,19 +122,20 @@
     answered.permit.finish(outcome);
 }
 
-/// Passes a long answer on as it comes.
-pub fn pieces(
+/// Starts relaying a long answer chunk by chunk, after the bytes in `collected`, and
+/// returns the response that carries it to the client.
+pub fn relay_chunks(
     mut exchange: Exchange,
     collected: Bytes,
     mut answered: Box<Answered>,
 ) -> Response<AnswerBody> {
-    let (sender, body) = AnswerBody::pieces();
-    let response = head(&exchange, &answered, body);
+    let (sender, body) = AnswerBody::chunked();
+    let response = build_response(&exchange, &answered, body);
     let status = response.status().as_u16();
     crate::tasks::spawn(async move {
         let mut next = Some(collected);
-        while let Some(piece) = next {
-            match timeout_at(exchange.deadline, sender.send(Ok(piece))).await {
+        while let Some(chunk) = next {
+            match timeout_at(exchange.deadline, sender.send(Ok(chunk))).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return,
                 Err(_) => {
@@ -133,17 +143,17 @@
                     return cut_off(sender);
                 }
             }
-            next = match next_piece(&mut exchange, &mut answered).await {
-                Piece::Data(data) => Some(data),
-                Piece::End => None,
-                Piece::Broken => {
+            next = match next_chunk(&mut exchange, &mut answered).await {
+                Chunk::Data(data) => Some(data),
+                Chunk::End => None,
+                Chunk::Broken => {
                     exchange.end(status, "answer_broken");
                     return cut_off(sender);
                 }
             };
         }
         let first_byte = answered.waited;
-        finish(&exchange, *answered, Outcome::Success { first_byte });
+        finish_attempt(&exchange, *answered, Outcome::Success { first_byte });
         exchange.end(status, crate::journal::ANSWERED);
     });
     response
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,5 @@
-//! From a client's request to the head of its answer.
+//! Serves a client's request: admits it, sends it to runners until one of them answers,
+//! and returns the answer or an error of the gateway's own.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,30 +15,30 @@
 
 use crate::admission::admit;
 use crate::answers::{OwnAnswer, REJECTED_RETRY_AFTER, STOPPING_RETRY_AFTER, close_if_draining};
-use crate::attempt::{Answered, attempt, rejection};
+use crate::attempt::{Answered, attempt, rejection_outcome};
 use crate::body::AnswerBody;
 use crate::context::Context;
 use crate::dispatch::Permit;
 use crate::exchange::Exchange;
 use crate::journal;
 use crate::lifecycle::Stage;
-use crate::relay::{self, WHOLE_ANSWER_BYTES};
+use crate::relay::{self, MAX_COLLECTED_BYTES};
 use crate::stream;
 
-/// Wait for a runner from which on the log tells of it.
-const WAIT_WORTH_LOGGING: Duration = Duration::from_millis(20);
-/// Time to read a rejection's body, so that its connection can be used again.
+/// Waiting time for a runner after which the wait is logged.
+const LOGGED_WAIT: Duration = Duration::from_millis(20);
+/// Time allowed to read the body of a rejection, so that its connection can be reused.
 const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What comes after an attempt.
+/// What follows an attempt that gave no answer to relay.
 enum Next {
-    /// The answer for the client.
+    /// The request ends with this answer to the client.
     Answer(Response<AnswerBody>),
-    /// Another attempt.
+    /// The request is sent to a runner once more.
     Again(AttemptKind),
 }
 
-/// Serves one request.
+/// Serves one request and returns the answer for the client.
 pub async fn serve(context: Context, request: Request<Incoming>) -> Response<AnswerBody> {
     let received = Instant::now();
     let (head, body) = request.into_parts();
@@ -65,12 +66,12 @@
     }
 }
 
-/// Tries runners until there is an answer.
+/// Sends the request to runners, one after the other, until there is an answer.
 async fn run(mut exchange: Exchange) -> Response<AnswerBody> {
     let mut kind = AttemptKind::First;
     let mut fallback = None;
     loop {
-        let answered = match try_once(&mut exchange, kind, fallback.take()).await {
+        let answered = match attempt_once(&mut exchange, kind, fallback.take()).await {
             Ok(answered) => answered,
             Err(Next::Answer(response)) => return response,
             Err(Next::Again(next)) => {
@@ -79,14 +80,14 @@
             }
         };
         if answered.facts.event_stream && answered.status == StatusCode::OK {
-            return stream::events(exchange, answered);
+            return stream::relay_events(exchange, answered);
         }
-        match relay::whole(&mut exchange, answered).await {
+        match relay::collect(&mut exchange, answered).await {
             relay::Relayed::Answer(response) => return response,
-            relay::Relayed::Pieces(collected, answered) => {
-                return relay::pieces(exchange, collected, answered);
+            relay::Relayed::TooLong(collected, answered) => {
+                return relay::relay_chunks(exchange, collected, answered);
             }
-            relay::Relayed::Failed(response) if exchange.may_run_again() => {
+            relay::Relayed::Failed(response) if exchange.may_retry() => {
                 fallback = Some(response);
                 kind = AttemptKind::Retry;
             }
@@ -94,48 +95,58 @@
                 exchange.end(response.status().as_u16(), "runner_failed");
                 return response;
             }
-            relay::Relayed::Broken if exchange.may_run_again() => kind = AttemptKind::Retry,
-            relay::Relayed::Broken => return own(&mut exchange, broken_answer("answer_broken")),
+            relay::Relayed::Broken if exchange.may_retry() => kind = AttemptKind::Retry,
+            relay::Relayed::Broken => return end_with(&mut exchange, bad_gateway("answer_broken")),
         }
     }
 }
 
-fn broken_answer(reason: &'static str) -> OwnAnswer {
+/// Returns the answer to a request that ran, or may have run, without a usable answer.
+fn bad_gateway(reason: &'static str) -> OwnAnswer {
     OwnAnswer::failed(StatusCode::BAD_GATEWAY, Verdict::MayHaveRun, reason)
 }
 
-fn own(exchange: &mut Exchange, answer: OwnAnswer) -> Response<AnswerBody> {
+/// Ends the request with an answer of the gateway's own.
+fn end_with(exchange: &mut Exchange, answer: OwnAnswer) -> Response<AnswerBody> {
     exchange.end(answer.status.as_u16(), answer.reason);
     answer.into_response(&exchange.context, exchange.outgoing.request_id.as_deref())
 }
 
-/// One attempt. `fallback` is the answer if no runner can be had any more.
-async fn try_once(
+/// Makes one attempt: acquires a runner, sends the request and reads the head of the
+/// answer. `fallback` is an earlier runner's failure, which the client gets if there is no
+/// runner at once; without it the request may wait for a runner.
+async fn attempt_once(
     exchange: &mut Exchange,
     kind: AttemptKind,
     fallback: Option<Response<AnswerBody>>,
 ) -> Result<Answered, Next> {
     let may_wait = fallback.is_none();
-    exchange.settle().await;
-    let asked = Instant::now();
+    exchange.await_crash_finding().await;
+    let acquire_started = Instant::now();
     let query = exchange.query(kind, may_wait);
     let lifecycle = exchange.context.lifecycle.clone();
-    let streams = exchange.route.kind == RequestKind::Streaming;
+    let is_stream = exchange.route.kind == RequestKind::Streaming;
     let acquired = tokio::select! {
         biased;
-        left = exchange.until_quarantined() => {
-            return Err(Next::Answer(turn_away(exchange, fallback, "quarantined", left)));
+        remaining = exchange.until_quarantined() => {
+            return Err(Next::Answer(refuse_or_fall_back(
+                exchange,
+                fallback,
+                "quarantined",
+                remaining,
+            )));
         }
         acquired = acquire(exchange, query) => acquired,
-        // A stream that begins now would not end in time; another node can have it.
-        () = lifecycle.reached(Stage::Closing), if streams => None,
+        // A stream that starts now would not end before the process does; another node
+        // can serve it.
+        () = lifecycle.reached(Stage::Closing), if is_stream => None,
     };
     let permit = match acquired {
         Some(Ok(permit)) => permit,
         Some(Err(refusal)) => {
             journal::refused(exchange.id(), refusal, exchange.verdict);
             let (reason, retry_after) = (refusal.reason.name(), refusal.retry_after);
-            let answer = turn_away(exchange, fallback, reason, retry_after);
+            let answer = refuse_or_fall_back(exchange, fallback, reason, retry_after);
             return Err(Next::Answer(answer));
         }
         None => {
@@ -143,15 +154,15 @@
             return Err(Next::Answer(answer));
         }
     };
-    if let Err(denial) = exchange.authorize_again() {
+    if let Err(denial) = exchange.reauthorize() {
         return Err(Next::Answer(deny(exchange, denial)));
     }
-    journal::chosen(exchange.id(), &permit, asked.elapsed());
+    journal::chosen(exchange.id(), &permit, acquire_started.elapsed());
     let runner = permit.runner().clone();
     let forward = exchange.forward(&runner, None);
-    let patience = exchange.head_patience(permit.candidates() > 1);
+    let head_deadline = exchange.head_deadline(permit.candidates() > 1);
     let context = exchange.context.clone();
-    match attempt(&context, permit, &exchange.outgoing, forward, patience).await {
+    match attempt(&context, permit, &exchange.outgoing, forward, head_deadline).await {
         Ok(answered) => after_head(exchange, &runner.id, answered).await,
         Err(error) => match exchange.after_failure(&runner, &error) {
             Some(kind) => Err(Next::Again(kind)),
@@ -160,36 +171,36 @@
     }
 }
 
-/// Asks for a runner, and says in the log if that takes time.
+/// Acquires a runner from the dispatcher. Logs a wait of more than [`LOGGED_WAIT`].
 async fn acquire(exchange: &Exchange, query: Query) -> Option<Result<Permit, Refusal>> {
     let acquired = exchange.context.dispatch.acquire(query);
     tokio::pin!(acquired);
-    match timeout(WAIT_WORTH_LOGGING, acquired.as_mut()).await {
+    match timeout(LOGGED_WAIT, acquired.as_mut()).await {
         Ok(acquired) => acquired,
         Err(_) => {
-            exchange.tell_waiting();
+            exchange.log_waiting();
             acquired.await
         }
     }
 }
 
-/// The answer to a request that no further runner is tried for.
+/// Ends a request whose last attempt failed and that must not be attempted again.
 fn give_up(exchange: &mut Exchange) -> Response<AnswerBody> {
     if exchange.verdict == Verdict::NotRun {
         return refuse(exchange, "unreachable", REJECTED_RETRY_AFTER);
     }
     let verdict = exchange.verdict;
-    let answer = if exchange.left().is_zero() {
+    let answer = if exchange.remaining_time().is_zero() {
         OwnAnswer::failed(StatusCode::GATEWAY_TIMEOUT, verdict, "deadline")
     } else {
         OwnAnswer::failed(StatusCode::BAD_GATEWAY, verdict, "attempt_failed")
     };
-    own(exchange, answer)
+    end_with(exchange, answer)
 }
 
-/// The answer to a request that is sent to no further runner: `fallback` if there is one,
-/// which a runner gave that failed to run it.
-fn turn_away(
+/// Ends a request that gets no further runner: with `fallback`, the answer of a runner
+/// that failed to run it, or else with a refusal.
+fn refuse_or_fall_back(
     exchange: &mut Exchange,
     fallback: Option<Response<AnswerBody>>,
     reason: &'static str,
@@ -202,7 +213,7 @@
     response
 }
 
-/// A refusal, or a failure if the request may have run somewhere.
+/// Ends the request with a refusal, or with a failure if it may have run at a runner.
 fn refuse(
     exchange: &mut Exchange,
     reason: &'static str,
@@ -213,10 +224,10 @@
     } else {
         OwnAnswer::failed(StatusCode::BAD_GATEWAY, exchange.verdict, reason)
     };
-    own(exchange, answer)
+    end_with(exchange, answer)
 }
 
-/// The answer to a request whose credential no longer allows it.
+/// Ends a request whose credential does not allow it any more.
 fn deny(exchange: &mut Exchange, denial: Denial) -> Response<AnswerBody> {
     let answer = OwnAnswer::denied(denial);
     let answer = if exchange.verdict == Verdict::NotRun {
@@ -224,29 +235,33 @@
     } else {
         OwnAnswer::failed(StatusCode::BAD_GATEWAY, exchange.verdict, answer.reason)
     };
-    own(exchange, answer)
+    end_with(exchange, answer)
 }
 
-/// Sorts out rejections; what runs goes on.
+/// Passes on the head of an answer to a request that ran. After a rejection, returns
+/// what follows it.
 async fn after_head(
     exchange: &mut Exchange,
     runner: &Arc<str>,
     answered: Answered,
 ) -> Result<Answered, Next> {
-    let turned_away = match answered.status {
+    let is_rejection = match answered.status {
         StatusCode::MISDIRECTED_REQUEST => true,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => answered.facts.not_run,
         _ => false,
     };
-    if !turned_away {
-        exchange.ran_at(runner, Verdict::Ran);
-        if breaks_promise(exchange, &answered) {
+    if !is_rejection {
+        exchange.record_run(runner, Verdict::Ran);
+        if falsely_claims_not_run(exchange, &answered) {
             answered.permit.finish(Outcome::Failed(Failure::Error));
-            return Err(Next::Answer(own(exchange, broken_answer("runner_failed"))));
+            return Err(Next::Answer(end_with(
+                exchange,
+                bad_gateway("runner_failed"),
+            )));
         }
         return Ok(answered);
     }
-    let outcome = rejection(&answered);
+    let outcome = rejection_outcome(&answered);
     tracing::info!(
         event = "rejected",
         request = exchange.id(),
@@ -260,13 +275,18 @@
         body,
         ..
     } = answered;
-    let until = Instant::now() + REJECTION_BODY_TIMEOUT;
-    if let Ok(Ok(_)) = timeout_at(until, Limited::new(body, WHOLE_ANSWER_BYTES).collect()).await {
+    let read_deadline = Instant::now() + REJECTION_BODY_TIMEOUT;
+    if let Ok(Ok(_)) = timeout_at(
+        read_deadline,
+        Limited::new(body, MAX_COLLECTED_BYTES).collect(),
+    )
+    .await
+    {
         let pool = &exchange.context.pool;
         pool.put_back(runner, connection, facts.keep_alive_seconds);
     }
     permit.finish(outcome);
-    if exchange.after_rejection(runner, outcome) && !exchange.left().is_zero() {
+    if exchange.after_rejection(runner, outcome) && !exchange.remaining_time().is_zero() {
         return Err(Next::Again(AttemptKind::Retry));
     }
     Err(Next::Answer(refuse(
@@ -276,14 +296,14 @@
     )))
 }
 
-/// Whether passing the answer on would promise that a request did not run
-/// which did.
-fn breaks_promise(exchange: &Exchange, answered: &Answered) -> bool {
-    let promises = matches!(
+/// Returns whether the answer's status would tell the client that the request did not
+/// run, although it may have run and must not be repeated.
+fn falsely_claims_not_run(exchange: &Exchange, answered: &Answered) -> bool {
+    let claims_not_run = matches!(
         answered.status,
         StatusCode::SERVICE_UNAVAILABLE
             | StatusCode::TOO_MANY_REQUESTS
             | StatusCode::REQUEST_TIMEOUT
     );
-    promises && !answered.facts.not_run && !exchange.route.repeatable()
+    claims_not_run && !answered.facts.not_run && !exchange.route.repeatable()
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and continues it at another runner where the
+//! Relays a stream of events to the client, and resumes it at another runner where the
 //! route allows that.
 
 use std::sync::Arc;
@@ -11,68 +11,71 @@
 use http_body_util::BodyExt;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::attempt::{Answered, attempt, rejection};
-use crate::body::{AnswerBody, Pieces, cut_off};
+use crate::attempt::{Answered, attempt, rejection_outcome};
+use crate::body::{AnswerBody, BodySender, cut_off};
 use crate::dispatch::Permit;
 use crate::events::{EventSplitter, StreamEvent};
 use crate::exchange::Exchange;
 use crate::journal;
 use crate::relay;
 
-/// Shortest pause between events that counts as a stall.
-const SHORTEST_GAP_STALL: Duration = Duration::from_millis(700);
-/// Time between two looks for another runner while a stream stalls.
-const STALL_STEP: Duration = Duration::from_millis(300);
+/// Lower bound of the stall timeout between two events.
+const MIN_GAP_STALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time between two searches for another runner while a stream stalls.
+const STALL_RECHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How a run of a stream ended.
+/// How the relaying of a stream from one runner ended.
 enum RunEnd {
-    /// With its last event.
+    /// The runner's body ended after a complete event.
     Complete,
-    /// The client is gone.
+    /// The client closed its connection.
     ClientLeft,
-    /// Its time was up.
+    /// The request's deadline passed.
     Deadline,
-    /// It broke off.
+    /// The runner's body ended early or cannot be parsed, for this cause.
     Broken(String),
-    /// It stalls, and another runner was found.
+    /// No event arrived for the stall timeout, and this permit for another runner is
+    /// available.
     Stalled(Permit),
 }
 
-/// Passes a stream of events on.
-pub fn events(exchange: Exchange, answered: Answered) -> Response<AnswerBody> {
-    let (sender, body) = AnswerBody::pieces();
-    let response = relay::head(&exchange, &answered, body);
+/// Starts relaying the stream of events in `answered`, and returns the response that
+/// carries it to the client.
+pub fn relay_events(exchange: Exchange, answered: Answered) -> Response<AnswerBody> {
+    let (sender, body) = AnswerBody::chunked();
+    let response = relay::build_response(&exchange, &answered, body);
     debug_assert_eq!(response.status(), StatusCode::OK);
     crate::tasks::spawn(StreamRelay::new(exchange, sender).run(answered));
     response
 }
 
-/// A stream on its way to a client.
+/// Relays one stream of events to a client, from one runner after the other.
 pub struct StreamRelay {
     exchange: Exchange,
-    pieces: Pieces,
-    last_id: Option<String>,
-    events: u64,
-    events_before_run: u64,
+    body_sender: BodySender,
+    last_event_id: Option<String>,
+    events_sent: u64,
+    events_before_runner: u64,
 }
 
 impl StreamRelay {
-    /// Passes events to `pieces`.
-    pub fn new(exchange: Exchange, pieces: Pieces) -> Self {
+    /// Creates a relay that sends events to `body_sender`.
+    pub fn new(exchange: Exchange, body_sender: BodySender) -> Self {
         Self {
             exchange,
-            pieces,
-            last_id: None,
-            events: 0,
-            events_before_run: 0,
+            body_sender,
+            last_event_id: None,
+            events_sent: 0,
+            events_before_runner: 0,
         }
     }
 
-    /// Relays until the stream ends one way or the other.
+    /// Relays events, from `first` and from the runners at which the stream is resumed,
+    /// until the stream ends or cannot be continued.
     pub async fn run(mut self, first: Answered) {
         let mut answered = first;
         loop {
-            let end = self.relay(&mut answered).await;
+            let end = self.relay_from_runner(&mut answered).await;
             let next = match end {
                 RunEnd::Complete => {
                     let outcome = self
@@ -81,17 +84,17 @@
                         .map_or(Outcome::Abandoned, |usual_gap| Outcome::Streamed {
                             usual_gap,
                         });
-                    relay::finish(&self.exchange, answered, outcome);
+                    relay::finish_attempt(&self.exchange, answered, outcome);
                     return self
                         .exchange
                         .end(StatusCode::OK.as_u16(), crate::journal::ANSWERED);
                 }
                 RunEnd::ClientLeft => return self.exchange.end(0, "client_left"),
-                RunEnd::Deadline => return self.cut("deadline"),
+                RunEnd::Deadline => return self.end_incomplete("deadline"),
                 RunEnd::Broken(cause) => {
                     let progress = self.progress();
                     let runner = answered.permit.runner();
-                    self.exchange.connection_broke(runner, progress);
+                    self.exchange.report_broken_connection(runner, progress);
                     answered.permit.finish(Outcome::Failed(Failure::Broken));
                     drop(answered.connection);
                     self.resume(None, &cause).await
@@ -104,105 +107,111 @@
             };
             match next {
                 Some(next) => answered = next,
-                None => return self.cut("stream_broken"),
+                None => return self.end_incomplete("stream_broken"),
             }
         }
     }
 
-    /// Ends the stream unfinished; nothing waits for its reader.
-    fn cut(mut self, reason: &str) {
+    /// Ends the client's stream unfinished, without waiting for the client to read what was
+    /// sent before.
+    fn end_incomplete(mut self, reason: &str) {
         self.exchange.end(StatusCode::OK.as_u16(), reason);
-        cut_off(self.pieces);
+        cut_off(self.body_sender);
     }
 
-    /// How far the present run has come.
+    /// Returns how far the request has come at the current runner.
     fn progress(&self) -> Progress {
-        if self.events == self.events_before_run {
+        if self.events_sent == self.events_before_runner {
             Progress::Started
         } else {
             Progress::Answering
         }
     }
 
-    /// Relays one run.
-    async fn relay(&mut self, answered: &mut Answered) -> RunEnd {
-        self.events_before_run = self.events;
+    /// Relays events from one runner until its body ends, breaks or stalls, or the
+    /// request ends.
+    async fn relay_from_runner(&mut self, answered: &mut Answered) -> RunEnd {
+        self.events_before_runner = self.events_sent;
         let mut splitter = EventSplitter::default();
-        let mut heard = Instant::now();
+        let mut last_received = Instant::now();
         loop {
-            let stalled_at = heard + self.stall();
-            let client = self.pieces.clone();
+            let stalled_at = last_received + self.stall_timeout();
+            let client = self.body_sender.clone();
             tokio::select! {
                 biased;
                 () = client.closed() => return RunEnd::ClientLeft,
                 frame = answered.body.frame() => match frame {
-                    None => return self.finish_run(&mut splitter).await,
+                    None => return self.end_of_body(&mut splitter).await,
                     Some(Err(error)) => return RunEnd::Broken(error.to_string()),
                     Some(Ok(frame)) => {
-                        heard = Instant::now();
+                        last_received = Instant::now();
                         let data = frame.into_data().unwrap_or_default();
                         if splitter.push(&data).is_err() {
-                            return RunEnd::Broken("event too long".to_owned());
+                            return RunEnd::Broken("event exceeds the maximum length".to_owned());
                         }
-                        if let Err(end) = self.pass_events(&mut splitter, answered).await {
+                        if let Err(end) = self.send_complete_events(&mut splitter, answered).await {
                             return end;
                         }
                     }
                 },
                 () = sleep_until(self.exchange.deadline) => return RunEnd::Deadline,
                 () = sleep_until(stalled_at), if self.may_resume() => {
-                    if let Some(permit) = self.other_runner().await {
+                    if let Some(permit) = self.acquire_other_runner().await {
                         return RunEnd::Stalled(permit);
                     }
-                    heard = Instant::now() + STALL_STEP - self.stall().min(STALL_STEP);
+                    last_received = Instant::now() + STALL_RECHECK_INTERVAL - self.stall_timeout().min(STALL_RECHECK_INTERVAL);
                 }
             }
         }
     }
 
+    /// Returns whether the stream may be continued at another runner.
     fn may_resume(&self) -> bool {
-        self.exchange.route.resumable && self.exchange.may_run_again()
+        self.exchange.route.resumable && self.exchange.may_retry()
     }
 
-    fn stall(&self) -> Duration {
-        if self.events == 0 {
-            return self.exchange.stall();
+    /// Returns the time without data after which the stream counts as stalled.
+    fn stall_timeout(&self) -> Duration {
+        if self.events_sent == 0 {
+            return self.exchange.stall_timeout();
         }
         let gap = self.exchange.route.target_gap.unwrap_or_default();
-        (gap * 2).max(SHORTEST_GAP_STALL)
+        (gap * 2).max(MIN_GAP_STALL_TIMEOUT)
     }
 
-    /// Another runner, if there is one at once.
-    async fn other_runner(&self) -> Option<Permit> {
+    /// Acquires another runner; `None` if none is available at once.
+    async fn acquire_other_runner(&self) -> Option<Permit> {
         let query = self.exchange.query(AttemptKind::Retry, false);
         self.exchange.context.dispatch.acquire(query).await?.ok()
     }
 
-    async fn pass_events(
+    /// Sends to the client all complete events that it does not have yet.
+    async fn send_complete_events(
         &mut self,
         splitter: &mut EventSplitter,
         answered: &Answered,
     ) -> Result<(), RunEnd> {
         while let Some(event) = splitter.next_event() {
-            if self.is_repeated(&event) {
+            if self.is_already_sent(&event) {
                 continue;
             }
-            if self.events == 0 {
+            if self.events_sent == 0 {
                 let first_byte = answered.waited;
                 answered.permit.observe(Outcome::PromptRead { first_byte });
             }
-            self.events += 1;
-            self.exchange.event_passes();
-            self.pass(event).await?;
+            self.events_sent += 1;
+            self.exchange.record_event();
+            self.send_event(event).await?;
         }
         Ok(())
     }
 
-    async fn pass(&mut self, event: StreamEvent) -> Result<(), RunEnd> {
+    /// Sends one event to the client; waits until the client's connection takes it.
+    async fn send_event(&mut self, event: StreamEvent) -> Result<(), RunEnd> {
         if event.id.is_some() {
-            self.last_id = event.id;
+            self.last_event_id = event.id;
         }
-        let sending = self.pieces.send(Ok(event.bytes));
+        let sending = self.body_sender.send(Ok(event.bytes));
         match timeout_at(self.exchange.deadline, sending).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(RunEnd::ClientLeft),
@@ -210,74 +219,91 @@
         }
     }
 
-    /// Whether the client has the event already.
-    fn is_repeated(&self, event: &StreamEvent) -> bool {
+    /// Returns whether the event was sent to the client before: its id is a number that is
+    /// not above that of the last event.
+    fn is_already_sent(&self, event: &StreamEvent) -> bool {
         let number = |id: &Option<String>| id.as_ref().and_then(|id| id.parse::<u64>().ok());
-        match (number(&event.id), number(&self.last_id)) {
+        match (number(&event.id), number(&self.last_event_id)) {
             (Some(id), Some(last)) => id <= last,
             _ => false,
         }
     }
 
-    /// The runner's body ended well: so does the stream, unless in mid-event.
-    async fn finish_run(&mut self, splitter: &mut EventSplitter) -> RunEnd {
-        if splitter.rest().is_empty() {
+    /// Returns how a stream ended whose runner completed the body: the stream is broken if
+    /// the body ends within an event.
+    async fn end_of_body(&mut self, splitter: &mut EventSplitter) -> RunEnd {
+        if splitter.take_incomplete().is_empty() {
             RunEnd::Complete
         } else {
             RunEnd::Broken("the stream ended within an event".to_owned())
         }
     }
 
-    /// Continues the stream at another runner: at `permit`'s, or one to be found.
+    /// Resumes the stream at another runner: at that of `permit`, or else at one that the
+    /// dispatcher grants. `cause` is the reason why the stream ended at the last runner.
+    /// Returns `None` if the stream cannot be continued.
     async fn resume(&mut self, permit: Option<Permit>, cause: &str) -> Option<Answered> {
         if !self.may_resume() {
             tracing::info!(
                 event = "stream_broken",
                 request = self.exchange.id(),
                 cause,
-                events = self.events
+                events = self.events_sent
             );
             return None;
         }
         let mut permit = permit;
         let mut kind = AttemptKind::Retry;
         loop {
-            self.exchange.settle().await;
+            self.exchange.await_crash_finding().await;
             let chosen = match permit.take() {
                 Some(permit) => permit,
-                None => self.next_permit(kind).await?,
+                None => self.acquire(kind).await?,
             };
-            if self.exchange.authorize_again().is_err() || self.exchange.quarantined().is_some() {
+            if self.exchange.reauthorize().is_err() || self.exchange.quarantined().is_some() {
                 return None;
             }
             let runner = chosen.runner().clone();
             journal::resumed(
                 self.exchange.id(),
                 &runner.id,
-                self.last_id.as_deref(),
+                self.last_event_id.as_deref(),
                 cause,
             );
-            let last_id = self.last_id.clone();
-            let forward = self.exchange.forward(&runner, last_id);
-            let patience = self.exchange.head_patience(chosen.candidates() > 1);
+            let last_event_id = self.last_event_id.clone();
+            let forward = self.exchange.forward(&runner, last_event_id);
+            let head_deadline = self.exchange.head_deadline(chosen.candidates() > 1);
             let context = self.exchange.context.clone();
-            let tried = attempt(&context, chosen, &self.exchange.outgoing, forward, patience).await;
-            match tried {
+            let result = attempt(
+                &context,
+                chosen,
+                &self.exchange.outgoing,
+                forward,
+                head_deadline,
+            )
+            .await;
+            match result {
                 Ok(answered)
                     if answered.status == StatusCode::OK && answered.facts.event_stream =>
                 {
-                    self.exchange.ran_at(&runner.id, Verdict::Ran);
+                    self.exchange.record_run(&runner.id, Verdict::Ran);
                     return Some(answered);
                 }
                 Ok(answered) => {
-                    kind = self.after_bad_head(&runner.id, answered)?;
+                    kind = self.after_unusable_head(&runner.id, answered)?;
                 }
                 Err(error) => kind = self.exchange.after_failure(&runner, &error)?,
             }
         }
     }
 
-    fn after_bad_head(&mut self, runner: &Arc<str>, answered: Answered) -> Option<AttemptKind> {
+    /// Records an attempt to resume that got an answer other than a stream of events.
+    /// Returns the kind of the next attempt; `None` if there must be none.
+    fn after_unusable_head(
+        &mut self,
+        runner: &Arc<str>,
+        answered: Answered,
+    ) -> Option<AttemptKind> {
         tracing::info!(
             event = "rejected",
             request = self.exchange.id(),
@@ -286,22 +312,24 @@
         );
         if !answered.facts.not_run {
             answered.permit.finish(Outcome::Failed(Failure::Error));
-            self.exchange.ran_at(runner, Verdict::Ran);
+            self.exchange.record_run(runner, Verdict::Ran);
             return self.may_resume().then_some(AttemptKind::Retry);
         }
-        let outcome = rejection(&answered);
+        let outcome = rejection_outcome(&answered);
         answered.permit.finish(outcome);
         self.exchange
             .after_rejection(runner, outcome)
             .then_some(AttemptKind::Retry)
     }
 
-    async fn next_permit(&self, kind: AttemptKind) -> Option<Permit> {
+    /// Acquires a runner, waiting for one if needed. Returns `None` if the client leaves,
+    /// the request is quarantined, or the dispatcher refuses it.
+    async fn acquire(&self, kind: AttemptKind) -> Option<Permit> {
         let query = self.exchange.query(kind, true);
         let acquired = self.exchange.context.dispatch.acquire(query);
         tokio::select! {
             biased;
-            () = self.pieces.closed() => None,
+            () = self.body_sender.closed() => None,
             _ = self.exchange.until_quarantined() => None,
             answer = acquired => match answer? {
                 Ok(permit) => Some(permit),
--- a/crates/gateway/src/trust_tests.rs
+++ b/crates/gateway/src/trust_tests.rs
@@ -2,7 +2,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 use quickcheck::{Gen, QuickCheck};
 
-use super::{to_caller, to_runner};
+use super::{headers_to_caller, headers_to_runner};
 
 const OWNERS: [(&str, HeaderOwner); 5] = [
     ("own", HeaderOwner::Caller),
@@ -20,8 +20,11 @@
 fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in pairs {
-        let name: HeaderName = name.parse().expect("it is a name");
-        headers.append(name, HeaderValue::from_str(value).expect("it is a value"));
+        let name: HeaderName = name.parse().expect("the name is valid");
+        headers.append(
+            name,
+            HeaderValue::from_str(value).expect("the value is valid"),
+        );
     }
     headers
 }
@@ -38,27 +41,30 @@
         ("signature", "7"),
     ]);
     let expected = headers(&[("own", "1"), ("own", "2"), ("unheard-of", "3")]);
-    assert_eq!(to_runner(owner, &sent), expected);
+    assert_eq!(headers_to_runner(owner, &sent), expected);
 }
 
 #[test]
-fn what_a_sender_names_as_its_connections_goes_no_further() {
+fn headers_named_in_the_connection_header_are_dropped() {
     let sent = headers(&[("connection", "close, private"), ("private", "1")]);
-    let kept = to_runner(owner, &sent);
-    assert!(!kept.contains_key("private"));
-    assert!(!to_caller(owner, &sent).contains_key("private"));
+    let forwarded = headers_to_runner(owner, &sent);
+    assert!(!forwarded.contains_key("private"));
+    assert!(!headers_to_caller(owner, &sent).contains_key("private"));
 }
 
 #[test]
 fn a_runners_signature_reaches_the_caller() {
     let sent = headers(&[("signature", "1"), ("close", "2")]);
-    assert_eq!(to_caller(owner, &sent), headers(&[("signature", "1")]));
+    assert_eq!(
+        headers_to_caller(owner, &sent),
+        headers(&[("signature", "1")])
+    );
 }
 
-/// Whatever a head looks like, nothing of the system's, the runner's or the
-/// connection's passes, and each of the caller's own that the head does not name
-/// as its connection's does.
-fn boundary_holds(picks: Vec<(u8, u8)>, named: Vec<u8>) -> bool {
+/// Checks for an arbitrary head that no header owned by the system, the runner or the
+/// connection reaches a runner, and that each header that callers own does, unless the
+/// `Connection` header names it.
+fn boundary_holds(picks: Vec<(u8, u8)>, hop_by_hop: Vec<u8>) -> bool {
     let names = ["own", "other", "hold", "tenant", "close", "signature"];
     let name = |number: u8| names[usize::from(number) % names.len()];
     let mut sent = HeaderMap::new();
@@ -66,18 +72,23 @@
         let name = HeaderName::from_static(name(*number));
         sent.append(name, HeaderValue::from(u64::from(*value)));
     }
-    let named: Vec<&str> = named.into_iter().map(name).collect();
-    let list = HeaderValue::from_str(&named.join(", ")).expect("names are values");
+    let hop_by_hop: Vec<&str> = hop_by_hop.into_iter().map(name).collect();
+    let list =
+        HeaderValue::from_str(&hop_by_hop.join(", ")).expect("header names are valid values");
     sent.append("connection", list);
-    let kept = to_runner(owner, &sent);
-    let may_cross = |name: &str| matches!(name, "own" | "other") && !named.contains(&name);
-    let whole = |name: &&str| {
+    let forwarded = headers_to_runner(owner, &sent);
+    let may_cross = |name: &str| matches!(name, "own" | "other") && !hop_by_hop.contains(&name);
+    let is_unchanged = |name: &&str| {
         let values = |headers: &HeaderMap| Vec::from_iter(headers.get_all(*name).iter().cloned());
-        values(&sent) == values(&kept)
+        values(&sent) == values(&forwarded)
     };
-    kept.keys()
+    forwarded
+        .keys()
         .all(|name| name == "connection" || may_cross(name.as_str()))
-        && names.iter().filter(|name| may_cross(name)).all(whole)
+        && names
+            .iter()
+            .filter(|name| may_cross(name))
+            .all(is_unchanged)
 }
 
 #[test]
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a peer that serves one request at a time.
+//! An HTTP/1.1 client connection to a runner or the store, with one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,56 +15,57 @@
 
 use crate::network::Network;
 use crate::upstream::pool::OpenSlot;
-use crate::upstream::tracked::{Tracked, TrackedStream};
+use crate::upstream::tracked::{SocketState, TrackedStream};
 
-/// Bytes of an answer that are read at once: a few of these are kept for a caller that
-/// reads slowly.
-const READ_BYTES: usize = 32 * 1024;
-/// Time that a connection rests before it is used again: a peer that sends
-/// more than its answer does so right behind it.
-const REST_BEFORE_REUSE: Duration = Duration::from_millis(8);
-/// Time that a connection may rest if its peer named none.
-const USUAL_IDLE_LIMIT: Duration = Duration::from_millis(900);
-/// Time before the peer's own limit at which a connection is not used again.
+/// Size of the read buffer in bytes. It is small, since a few buffers are kept for each
+/// caller that reads its answer slowly.
+const READ_BUFFER_BYTES: usize = 32 * 1024;
+/// Time that a connection must be idle before it is reused. A peer that sends excess bytes
+/// after its answer sends them at once, so they arrive within this time.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(8);
+/// Longest idle time of a connection whose peer announced no keep-alive time.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(900);
+/// Time before the end of the peer's keep-alive time from which a connection is not reused.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 
-/// Why no connection came up. Nothing was sent.
+/// Reason why no connection could be opened. Nothing was sent.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The peer refused, or the network did.
-    #[error("refused: {0}")]
+    /// The peer or the network refused the connection.
+    #[error("connection refused: {0}")]
     Refused(String),
-    /// Nothing came back in time.
-    #[error("no answer to the connection's opening")]
+    /// The connection was not established within the timeout.
+    #[error("timed out connecting")]
     TimedOut,
-    /// This node's share of the runner's connections is used up.
-    #[error("no connection left in this node's share")]
+    /// All connections that this node may have to the runner are in use.
+    #[error("this node's share of the runner's connections is in use")]
     NoShareLeft,
 }
 
-/// Why a request got no head of an answer.
+/// Reason why a request got no head of an answer.
 #[derive(Debug, Error)]
 #[error("{cause}")]
 pub struct SendError {
-    /// Whether any byte of the request left.
+    /// Whether any byte of the request was written to the socket.
     pub sent: bool,
-    /// What happened.
+    /// Description of the failure for the log.
     pub cause: String,
 }
 
-/// A connection. Dropping it closes the socket at once.
+/// An open connection. Dropping it closes the socket at once.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    tracked: Tracked,
-    rested_since: Instant,
+    socket: SocketState,
+    idle_since: Instant,
     idle_limit: Duration,
     _slot: Option<OpenSlot>,
 }
 
 impl Connection {
-    /// Connects to `address` within `timeout`.
+    /// Connects to `address` within `timeout`. `slot` counts the connection against this
+    /// node's share until the connection is dropped; `None` for connections without a limit.
     pub async fn open(
         network: &dyn Network,
         address: SocketAddr,
@@ -76,9 +77,9 @@
             .await
             .map_err(|_| ConnectError::TimedOut)?
             .map_err(|error| refused(&error))?;
-        let (stream, tracked) = TrackedStream::new(stream);
+        let (stream, socket) = TrackedStream::new(stream);
         let (sender, connection) = Builder::new()
-            .max_buf_size(READ_BYTES)
+            .max_buf_size(READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| refused(&error))?;
@@ -90,62 +91,62 @@
         Ok(Self {
             sender,
             driver: driver.abort_handle(),
-            tracked,
-            rested_since: Instant::now(),
-            idle_limit: USUAL_IDLE_LIMIT,
+            socket,
+            idle_since: Instant::now(),
+            idle_limit: DEFAULT_IDLE_LIMIT,
             _slot: slot,
         })
     }
 
-    /// Sends `request` and waits for the head of its answer.
+    /// Sends `request` and waits for the head of the answer. There is no timeout.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, SendError> {
-        let before = self.tracked.written();
+        let written_before = self.socket.written();
         let failed = |cause: String, returned: bool, written: u64| SendError {
-            sent: !returned || written != before,
+            sent: !returned || written != written_before,
             cause,
         };
         let request = request.map(Full::new);
         if let Err(error) = self.sender.ready().await {
-            return Err(failed(error.to_string(), true, self.tracked.written()));
+            return Err(failed(error.to_string(), true, self.socket.written()));
         }
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
                 let returned = error.take_message().is_some();
                 let cause = error.into_error().to_string();
-                Err(failed(cause, returned, self.tracked.written()))
+                Err(failed(cause, returned, self.socket.written()))
             }
         }
     }
 
-    /// Marks the beginning of a rest, after a whole answer whose head named
-    /// `keep_alive_seconds`.
+    /// Marks the connection as idle from now on, after an answer was read completely.
+    /// `keep_alive_seconds`: the keep-alive time that the peer announced in it, if any.
     pub fn rest(&mut self, keep_alive_seconds: Option<u64>) {
-        self.rested_since = Instant::now();
-        self.idle_limit = keep_alive_seconds.map_or(USUAL_IDLE_LIMIT, |seconds| {
+        self.idle_since = Instant::now();
+        self.idle_limit = keep_alive_seconds.map_or(DEFAULT_IDLE_LIMIT, |seconds| {
             Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN)
         });
     }
 
-    /// Whether it may be used again some time.
+    /// Returns whether the idle connection may be reused, now or soon.
     pub fn is_alive(&self) -> bool {
-        !self.sender.is_closed() && self.rested_since.elapsed() < self.idle_limit
+        !self.sender.is_closed() && self.idle_since.elapsed() < self.idle_limit
     }
 
-    /// Whether it may be used again now.
+    /// Returns whether the idle connection may be reused now.
     pub fn is_ready(&self) -> bool {
         self.is_alive()
             && self.sender.is_ready()
-            && self.rested_since.elapsed() >= REST_BEFORE_REUSE
+            && self.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE
     }
 
-    /// Closes it so that nothing of the request on it goes out any more. The peer may not
-    /// learn that it is closed: a reset is not sent twice.
+    /// Closes the connection and discards all bytes of the request that are not delivered
+    /// yet. The peer may not notice the close, since a lost reset is not sent again.
     pub fn give_up(self) {
-        self.tracked.give_up();
+        self.socket.discard_unsent();
     }
 
-    /// Whether the peer has closed it.
+    /// Returns whether the connection is closed, by the peer or after an error.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to runners and to the store.
+//! Client connections to runners and to the store, and the pool of those to runners.
 
 mod connection;
 mod pool;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by runner, and how many are open.
+//! Idle connections and the number of open connections, by runner.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,7 +6,7 @@
 
 use crate::upstream::Connection;
 
-/// Counts an open connection until it is dropped.
+/// Counts one open connection to a runner until it is dropped.
 #[derive(Debug)]
 pub struct OpenSlot(Arc<AtomicU32>);
 
@@ -16,25 +16,26 @@
     }
 }
 
-/// What the pool has for a request.
+/// Result of a request to the pool for a connection.
 #[derive(Debug)]
 pub enum Checkout {
-    /// A connection that rested.
+    /// An idle connection that can be reused.
     Idle(Box<Connection>),
-    /// Leave to open one.
+    /// The slot for a new connection, which the caller is to open.
     Open(OpenSlot),
-    /// This node's share of the runner's connections is used up.
+    /// All connections that this node may have to the runner are in use.
     Full,
 }
 
+/// The connections to one runner.
 #[derive(Debug, Default)]
-struct Entry {
+struct RunnerConnections {
     idle: Vec<Connection>,
     open: Arc<AtomicU32>,
 }
 
-impl Entry {
-    /// Leave to open one more connection, if fewer than `share` are open.
+impl RunnerConnections {
+    /// Reserves a slot for one more connection; `None` if `share` connections are open.
     fn reserve(&self, share: u32) -> Option<OpenSlot> {
         if self.open.load(Ordering::Relaxed) >= share {
             return None;
@@ -44,21 +45,26 @@
     }
 }
 
-/// Connections by runner. The lock is never held across an await.
+/// The connections to all runners, by runner id. The lock is never held across an await.
 #[derive(Debug, Default)]
 pub struct Pool {
-    entries: Mutex<HashMap<Arc<str>, Entry>>,
+    entries: Mutex<HashMap<Arc<str>, RunnerConnections>>,
 }
 
 impl Pool {
-    fn with<T>(&self, act: impl FnOnce(&mut HashMap<Arc<str>, Entry>) -> T) -> T {
+    /// Calls `act` with the locked entries.
+    fn with_entries<T>(
+        &self,
+        act: impl FnOnce(&mut HashMap<Arc<str>, RunnerConnections>) -> T,
+    ) -> T {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         act(&mut entries)
     }
 
-    /// A connection to `runner`, of which `share` may be open.
+    /// Returns an idle connection to `runner`, or the slot for a new one if fewer than
+    /// `share` are open.
     pub fn checkout(&self, runner: &Arc<str>, share: u32) -> Checkout {
-        self.with(|entries| {
+        self.with_entries(|entries| {
             let entry = entries.entry(runner.clone()).or_default();
             entry.idle.retain(Connection::is_alive);
             if let Some(index) = entry.idle.iter().rposition(Connection::is_ready) {
@@ -68,12 +74,14 @@
         })
     }
 
-    /// Leave to open a connection to `runner`, of which `share` may be open.
+    /// Reserves the slot for a new connection to `runner`, even if there are idle ones;
+    /// `None` if `share` connections are open.
     pub fn reserve(&self, runner: &Arc<str>, share: u32) -> Option<OpenSlot> {
-        self.with(|entries| entries.entry(runner.clone()).or_default().reserve(share))
+        self.with_entries(|entries| entries.entry(runner.clone()).or_default().reserve(share))
     }
 
-    /// Puts back a connection after a whole answer.
+    /// Returns a connection to the pool after an answer was read completely from it.
+    /// `keep_alive_seconds`: the keep-alive time that the runner announced, if any.
     pub fn put_back(
         &self,
         runner: &Arc<str>,
@@ -84,16 +92,17 @@
         if connection.is_closed() {
             return;
         }
-        self.with(|entries| {
+        self.with_entries(|entries| {
             if let Some(entry) = entries.get_mut(runner) {
                 entry.idle.push(connection);
             }
         });
     }
 
-    /// Closes what rests too long, and forgets runners without a connection.
-    pub fn sweep(&self) {
-        self.with(|entries| {
+    /// Closes connections that exceed their idle limit, and removes the entries of runners
+    /// without an open connection.
+    pub fn close_expired(&self) {
+        self.with_entries(|entries| {
             entries.retain(|_, entry| {
                 entry.idle.retain(Connection::is_alive);
                 entry.open.load(Ordering::Relaxed) > 0
--- a/crates/gateway/src/upstream/tracked.rs
+++ b/crates/gateway/src/upstream/tracked.rs
@@ -1,5 +1,5 @@
-//! A socket that counts what was written to it, so that it is known for sure
-//! whether any byte of a request left, and that throws away what was given up.
+//! A socket that counts the bytes written to it, so that it is certain whether any byte of a
+//! request was sent, and that can discard undelivered bytes when it is closed.
 
 use std::io;
 use std::pin::Pin;
@@ -11,50 +11,51 @@
 
 use crate::network::ByteStream;
 
-/// What is shared with the owner of a socket.
+/// Values shared by a [`TrackedStream`] and its [`SocketState`].
 #[derive(Debug, Default)]
-struct Shared {
+struct SharedState {
     written: AtomicU64,
-    is_given_up: AtomicBool,
+    should_discard: AtomicBool,
 }
 
-/// What the owner of a socket knows of it while a connection drives it.
+/// Gives the owner of a connection access to its socket's state while hyper owns the
+/// socket.
 #[derive(Debug, Clone, Default)]
-pub struct Tracked(Arc<Shared>);
+pub struct SocketState(Arc<SharedState>);
 
-impl Tracked {
-    /// Bytes written to the socket so far.
+impl SocketState {
+    /// Returns the number of bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.0.written.load(Ordering::Relaxed)
     }
 
-    /// What is not delivered yet is not wanted any more: it is thrown away when the socket
-    /// is dropped.
-    pub fn give_up(&self) {
-        self.0.is_given_up.store(true, Ordering::Relaxed);
+    /// Makes the socket discard the bytes that are not delivered yet when it is dropped.
+    pub fn discard_unsent(&self) {
+        self.0.should_discard.store(true, Ordering::Relaxed);
     }
 }
 
-/// A stream that counts.
+/// A stream that counts the bytes written to it.
 pub struct TrackedStream {
     stream: Box<dyn ByteStream>,
-    tracked: Tracked,
+    state: SocketState,
 }
 
 impl TrackedStream {
-    /// Wraps `stream`.
-    pub fn new(stream: Box<dyn ByteStream>) -> (Self, Tracked) {
-        let tracked = Tracked::default();
+    /// Wraps `stream`. Returns the wrapper and the handle to its state.
+    pub fn new(stream: Box<dyn ByteStream>) -> (Self, SocketState) {
+        let state = SocketState::default();
         let stream = Self {
             stream,
-            tracked: tracked.clone(),
+            state: state.clone(),
         };
-        (stream, tracked)
+        (stream, state)
     }
 
-    fn count(&self, result: &Poll<io::Result<usize>>) {
+    /// Adds the bytes of a successful write.
+    fn count_written(&self, result: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = result {
-            let written = &self.tracked.0.written;
+            let written = &self.state.0.written;
             written.fetch_add(*bytes as u64, Ordering::Relaxed);
         }
     }
@@ -62,7 +63,7 @@
 
 impl Drop for TrackedStream {
     fn drop(&mut self) {
-        if self.tracked.0.is_given_up.load(Ordering::Relaxed) {
+        if self.state.0.should_discard.load(Ordering::Relaxed) {
             self.stream.discard_on_drop();
         }
     }
@@ -85,7 +86,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count(&result);
+        self.count_written(&result);
         result
     }
 
@@ -95,7 +96,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.count(&result);
+        self.count_written(&result);
         result
     }
 
