--- a/crates/callers/benches/admission.rs
+++ b/crates/callers/benches/admission.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_callers::{
-    AccessBounds, Knowledge, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Share, Subject,
-    authorize,
+    AccessBounds, ConfigurationView, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Subject,
+    VisibleNodes, authorize,
 };
 use barleyspar_catalog::{
     Configuration, Credential, Quota, QuotaBounds, QuotaUnit, RequestKind, Route, RouteTable,
@@ -86,16 +86,16 @@
         let start = Instant::now();
         let mut ledger = QuotaLedger::new(BOUNDS.window);
         let mut owner = QuotaOwner::new(start, Duration::from_secs(2));
-        let share = Share {
-            heard: NODES,
-            nodes: NODES,
+        let share = VisibleNodes {
+            visible: NODES,
+            total: NODES,
         };
         for number in 0..REQUESTS {
             let now = Instant::now();
             let credential = Credential::of(secrets[number % tenants].as_bytes());
-            let view = Knowledge {
+            let view = ConfigurationView {
                 table: &table,
-                age: Some(Duration::ZERO),
+                staleness: Some(Duration::ZERO),
             };
             let tenant = authorize(view, &route, Some(&credential), &bounds)
                 .expect("the credential is known")
@@ -108,8 +108,8 @@
                 subject: subject.clone(),
                 named: None,
                 cost: 1600,
-                once_for: None,
-                elsewhere_ms: ledger.asks(&subject, &owner_name, now),
+                charge_once_key: None,
+                other_owner_asked_ms: ledger.record_question(&subject, &owner_name, now),
             };
             black_box(owner.answer(&request, limit, share, now));
         }
--- a/crates/callers/src/access.rs
+++ b/crates/callers/src/access.rs
@@ -33,25 +33,25 @@
             bound.saturating_sub(bound.mul_f64(CLOCK_RATE_ERROR) + ROUNDING_ERROR)
         };
         Self {
-            maximum_serving_staleness: bounds.revocation.map(without_error),
-            maximum_denial_staleness: without_error(bounds.change_in_force),
+            maximum_serving_staleness: bounds.revocation_time.map(without_error),
+            maximum_denial_staleness: without_error(bounds.configuration_apply_time),
         }
     }
 }
 
 /// A node's local view of the configuration, with its staleness.
 #[derive(Debug, Clone, Copy)]
-pub struct Knowledge<'a> {
+pub struct ConfigurationView<'a> {
     /// Routes and tenants that the node applies.
     pub table: &'a RouteTable,
     /// Staleness: time for which the node may have missed changes; `None` if unknown.
-    pub age: Option<Duration>,
+    pub staleness: Option<Duration>,
 }
 
-impl Knowledge<'_> {
+impl ConfigurationView<'_> {
     /// Returns whether the staleness is known and below `bound`.
     fn is_fresher_than(&self, bound: Duration) -> bool {
-        self.age.is_some_and(|staleness| staleness < bound)
+        self.staleness.is_some_and(|staleness| staleness < bound)
     }
 
     /// Returns whether the view is fresh enough to serve requests under credentials.
@@ -74,7 +74,7 @@
 /// Returns the tenant under which a request on `route` with `credential` is served; `None`
 /// if the route does not require one.
 pub fn authorize(
-    view: Knowledge<'_>,
+    view: ConfigurationView<'_>,
     route: &Route,
     credential: Option<&Credential>,
     bounds: &AccessBounds,
--- a/crates/callers/src/bucket.rs
+++ b/crates/callers/src/bucket.rs
@@ -80,7 +80,7 @@
 }
 
 /// Returns the number of units that a request with these facts counts against a quota.
-pub fn cost(unit: QuotaUnit, facts: &RequestFacts) -> u64 {
+pub fn request_cost(unit: QuotaUnit, facts: &RequestFacts) -> u64 {
     match unit {
         QuotaUnit::Requests => 1,
         QuotaUnit::Tokens { unnamed } => facts.named_tokens.unwrap_or(unnamed),
--- a/crates/callers/src/fingerprint.rs
+++ b/crates/callers/src/fingerprint.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use barleyspar_catalog::Credential;
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 use serde::{Deserialize, Serialize};
 
 /// Identifies a request by the parts that are the same in each retry by its caller: host,
@@ -14,7 +14,7 @@
 impl Fingerprint {
     /// Returns the fingerprint of a request to `host` for `target` (path and query).
     pub fn of(host: &str, target: &str, caller: Option<&Credential>, body: &[u8]) -> Self {
-        Self(rank(&(host, target, caller), body))
+        Self(rendezvous_weight(&(host, target, caller), body))
     }
 }
 
--- a/crates/callers/src/ledger.rs
+++ b/crates/callers/src/ledger.rs
@@ -67,7 +67,12 @@
     /// Records that `owner` is asked about `subject`. Returns the time since this node last
     /// asked the previous owner, in milliseconds; `None` if it has asked no other owner
     /// within the window.
-    pub fn asks(&mut self, subject: &Subject, owner: &Arc<str>, now: Instant) -> Option<u32> {
+    pub fn record_question(
+        &mut self,
+        subject: &Subject,
+        owner: &Arc<str>,
+        now: Instant,
+    ) -> Option<u32> {
         let window = self.window;
         let entry = self.entry(subject);
         let owner_changed = entry
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -17,12 +17,12 @@
 mod quarantine;
 mod served;
 
-pub use access::{AccessBounds, Denial, Knowledge, authorize};
-pub use bucket::{QuotaLimit, TokenBucket, cost};
+pub use access::{AccessBounds, ConfigurationView, Denial, authorize};
+pub use bucket::{QuotaLimit, TokenBucket, request_cost};
 pub use crashes::Progress;
 pub use fingerprint::Fingerprint;
 pub use ledger::QuotaLedger;
 pub use messages::{QuotaAnswer, QuotaRequest, Subject};
-pub use owner::{QuotaOwner, Share};
-pub use quarantine::{Quarantine, QuarantineNews};
+pub use owner::{QuotaOwner, VisibleNodes};
+pub use quarantine::{Quarantine, QuarantineUpdate};
 pub use served::RecentlyServed;
--- a/crates/callers/src/messages.rs
+++ b/crates/callers/src/messages.rs
@@ -48,10 +48,10 @@
     pub cost: u64,
     /// Key for which the units are charged only once, whichever nodes ask: the id of the
     /// crashed runner. `None` to charge each question.
-    pub once_for: Option<Arc<str>>,
+    pub charge_once_key: Option<Arc<str>>,
     /// Time since the node last asked another owner about this subject, in milliseconds;
     /// `None` if it has asked no other owner within the quota window.
-    pub elsewhere_ms: Option<u32>,
+    pub other_owner_asked_ms: Option<u32>,
 }
 
 /// Answer of a limit owner to a [`QuotaRequest`].
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_domain::part_left;
+use barleyspar_domain::decay_factor;
 
 use crate::bucket::{QuotaLimit, TokenBucket};
 use crate::crashes::{SECONDS_PER_FORGIVEN_UNIT, TOLERATED_WEIGHT};
@@ -29,21 +29,21 @@
 
 /// The nodes that an owner can see: their number and that of all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
+pub struct VisibleNodes {
     /// Number of nodes from which the owner has recently received a message, itself included.
-    pub heard: usize,
+    pub visible: usize,
     /// Number of all nodes, whether or not the owner can reach them.
-    pub nodes: usize,
+    pub total: usize,
 }
 
-impl Share {
+impl VisibleNodes {
     /// Returns the fraction of the limit that the owner grants, from 0 to 1: the whole limit
     /// if it sees more than half of all nodes.
-    pub fn part(self) -> f64 {
-        if self.heard * 2 > self.nodes {
+    pub fn limit_fraction(self) -> f64 {
+        if self.visible * 2 > self.total {
             return 1.0;
         }
-        MINORITY_FACTOR * self.heard as f64 / self.nodes.max(1) as f64
+        MINORITY_FACTOR * self.visible as f64 / self.total.max(1) as f64
     }
 }
 
@@ -59,7 +59,7 @@
     /// Returns the decayed sum at `now`.
     fn at(self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated_at);
-        self.units * part_left(age, HALF_LIFE)
+        self.units * decay_factor(age, HALF_LIFE)
     }
 
     fn add(&mut self, units: f64, now: Instant) {
@@ -128,7 +128,7 @@
         limit: QuotaLimit,
         now: Instant,
     ) -> Result<(), Duration> {
-        let Some(once_for) = &request.once_for else {
+        let Some(once_for) = &request.charge_once_key else {
             return self.bucket.try_take(request.cost as f64, limit, now);
         };
         let charged = self.charged_once.get(once_for).copied().unwrap_or(0);
@@ -208,7 +208,7 @@
         &mut self,
         request: &QuotaRequest,
         limit: QuotaLimit,
-        share: Share,
+        share: VisibleNodes,
         now: Instant,
     ) -> QuotaAnswer {
         if matches!(request.subject, Subject::Request(_)) {
@@ -223,13 +223,16 @@
             // In a partition, each owner grants the whole limit: a fraction of the few
             // tolerated crashes would tolerate none.
             Subject::Request(_) => (TokenBucket::full(limit, now), limit),
-            _ => (TokenBucket::empty(started), limit.scaled(share.part())),
+            _ => (
+                TokenBucket::empty(started),
+                limit.scaled(share.limit_fraction()),
+            ),
         };
         let account = self
             .accounts
             .entry(request.subject.clone())
             .or_insert_with(|| Account::new(bucket, started));
-        if let Some(elsewhere_ms) = request.elsewhere_ms {
+        if let Some(elsewhere_ms) = request.other_owner_asked_ms {
             let ago = Duration::from_millis(elsewhere_ms.into());
             account.note_other_owner(now.checked_sub(ago).unwrap_or(started), now);
         }
--- a/crates/callers/src/quarantine.rs
+++ b/crates/callers/src/quarantine.rs
@@ -22,11 +22,11 @@
 
 /// Update on one quarantined request, which nodes broadcast to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Fingerprint of the quarantined request.
     pub request: Fingerprint,
     /// Time until the quarantine ends, in milliseconds.
-    pub left_ms: u32,
+    pub remaining_ms: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -69,9 +69,13 @@
 
     /// Applies updates from another node. Returns the requests whose quarantine is new or
     /// was extended.
-    pub fn hear(&mut self, updates: &[QuarantineNews], now: Instant) -> Vec<Fingerprint> {
+    pub fn apply_updates(
+        &mut self,
+        updates: &[QuarantineUpdate],
+        now: Instant,
+    ) -> Vec<Fingerprint> {
         let ends = updates.iter().filter_map(|update| {
-            let remaining = Duration::from_millis(update.left_ms.into());
+            let remaining = Duration::from_millis(update.remaining_ms.into());
             Some((update.request, now.checked_add(remaining)?))
         });
         ends.filter(|(request, until)| self.add(*request, *until, now))
@@ -81,14 +85,14 @@
 
     /// Returns the time until the quarantine of `request` ends; `None` if it is not
     /// quarantined.
-    pub fn left(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
+    pub fn remaining(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         let entry = self.entries.get(&request)?;
         let remaining = entry.until.saturating_duration_since(now);
         (!remaining.is_zero()).then_some(remaining)
     }
 
     /// Returns the updates for the message to other nodes with the number `round`.
-    pub fn news(&self, round: usize, now: Instant) -> Vec<QuarantineNews> {
+    pub fn updates_for_round(&self, round: usize, now: Instant) -> Vec<QuarantineUpdate> {
         let mut entries: Vec<(Fingerprint, Entry)> = self
             .entries
             .iter()
@@ -102,9 +106,9 @@
         entries
             .iter()
             .chain(rotating.unwrap_or_default())
-            .map(|(request, entry)| QuarantineNews {
+            .map(|(request, entry)| QuarantineUpdate {
                 request: *request,
-                left_ms: milliseconds(entry.until.saturating_duration_since(now)),
+                remaining_ms: milliseconds(entry.until.saturating_duration_since(now)),
             })
             .collect()
     }
--- a/crates/callers/tests/access.rs
+++ b/crates/callers/tests/access.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{AccessBounds, Denial, Knowledge, authorize};
+use barleyspar_callers::{AccessBounds, ConfigurationView, Denial, authorize};
 use barleyspar_catalog::{
     Backend, Configuration, Credential, RequestKind, Route, RouteTable, Tenant,
 };
@@ -66,7 +66,10 @@
     bounds: &AccessBounds,
 ) -> Result<Option<Arc<str>>, Denial> {
     let table = table(2);
-    let view = Knowledge { table: &table, age };
+    let view = ConfigurationView {
+        table: &table,
+        staleness: age,
+    };
     let credential = secret.map(|secret| Credential::of(secret.as_bytes()));
     let tenant = authorize(view, &route(false), credential.as_ref(), bounds)?;
     Ok(tenant.map(|tenant| tenant.name.clone()))
@@ -101,15 +104,15 @@
 #[test]
 fn public_routes_and_sites_without_tenants_require_no_credential() {
     let table = table(2);
-    let view = Knowledge {
+    let view = ConfigurationView {
         table: &table,
-        age: None,
+        staleness: None,
     };
     assert_eq!(authorize(view, &route(true), None, &BOUNDS), Ok(None));
     let empty = RouteTable::default();
-    let view = Knowledge {
+    let view = ConfigurationView {
         table: &empty,
-        age: None,
+        staleness: None,
     };
     assert_eq!(authorize(view, &route(false), None, &BOUNDS), Ok(None));
 }
--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -7,7 +7,7 @@
 
 use barleyspar_callers::{
     Fingerprint, Progress, Quarantine, QuotaAnswer, QuotaLimit, QuotaOwner, QuotaRequest,
-    RecentlyServed, Share, Subject,
+    RecentlyServed, Subject, VisibleNodes,
 };
 use barleyspar_catalog::Credential;
 
@@ -22,7 +22,7 @@
 struct Owner {
     owner: QuotaOwner,
     now: Instant,
-    share: Share,
+    share: VisibleNodes,
 }
 
 impl Owner {
@@ -31,7 +31,10 @@
         Self {
             owner: QuotaOwner::new(now, FAILURE_DETECTION_TIME),
             now,
-            share: Share { heard, nodes },
+            share: VisibleNodes {
+                visible: heard,
+                total: nodes,
+            },
         }
     }
 
@@ -55,8 +58,8 @@
             subject: Subject::Request(subject),
             named: None,
             cost: progress.weight(),
-            once_for: Some(Arc::from(runner)),
-            elsewhere_ms,
+            charge_once_key: Some(Arc::from(runner)),
+            other_owner_asked_ms: elsewhere_ms,
         };
         let limit = QuotaLimit::of_crashes();
         let answer = self.owner.answer(&request, limit, self.share, self.now);
@@ -164,14 +167,17 @@
     // Each message takes a while, and each node relays what it has received.
     for step in 0..390 {
         let at = now + step * SECOND / 4;
-        other.hear(&one.news(step as usize, at), at + SECOND / 10);
-        one.hear(&other.news(step as usize, at), at + SECOND / 10);
+        other.apply_updates(&one.updates_for_round(step as usize, at), at + SECOND / 10);
+        one.apply_updates(
+            &other.updates_for_round(step as usize, at),
+            at + SECOND / 10,
+        );
     }
-    assert!(one.left(request(1), now + 99 * SECOND).is_some());
+    assert!(one.remaining(request(1), now + 99 * SECOND).is_some());
     let ended = now + 101 * SECOND;
-    assert!(one.left(request(1), ended).is_none());
-    assert!(other.left(request(1), ended).is_none());
-    assert!(one.news(0, ended).is_empty());
+    assert!(one.remaining(request(1), ended).is_none());
+    assert!(other.remaining(request(1), ended).is_none());
+    assert!(one.updates_for_round(0, ended).is_empty());
 }
 
 #[test]
@@ -185,7 +191,7 @@
     }
     let now = now + 3 * SECOND;
     let sent = |round| {
-        let updates = quarantine.news(round, now);
+        let updates = quarantine.updates_for_round(round, now);
         assert!(updates.len() <= 16, "{}", updates.len());
         updates.into_iter().map(|update| update.request)
     };
@@ -202,9 +208,9 @@
         let until = now + (10 + number as u32) * SECOND;
         quarantine.add(request(number), until, now);
     }
-    assert!(quarantine.left(request(0), now).is_none());
-    assert!(quarantine.left(request(1999), now).is_some());
-    let kept = (0..2000).filter(|number| quarantine.left(request(*number), now).is_some());
+    assert!(quarantine.remaining(request(0), now).is_none());
+    assert!(quarantine.remaining(request(1999), now).is_some());
+    let kept = (0..2000).filter(|number| quarantine.remaining(request(*number), now).is_some());
     assert_eq!(kept.count(), 1024);
 }
 
--- a/crates/callers/tests/fleet.rs
+++ b/crates/callers/tests/fleet.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_callers::{
-    QuotaAnswer, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Share, Subject, TokenBucket,
+    QuotaAnswer, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Subject, TokenBucket,
+    VisibleNodes,
 };
 use barleyspar_catalog::{Quota, QuotaBounds, QuotaUnit};
 
@@ -156,7 +157,9 @@
         let (now, limit) = (self.now, self.limit());
         let owner = self.visible_nodes(node)[0];
         let owner_name: Arc<str> = format!("node-{owner}").into();
-        let elsewhere_ms = self.nodes[node].ledger.asks(&tenant, &owner_name, now);
+        let elsewhere_ms = self.nodes[node]
+            .ledger
+            .record_question(&tenant, &owner_name, now);
         self.numbers += 1;
         let request = QuotaRequest {
             number: self.numbers,
@@ -164,13 +167,13 @@
             subject: tenant.clone(),
             named: None,
             cost,
-            once_for: None,
-            elsewhere_ms,
+            charge_once_key: None,
+            other_owner_asked_ms: elsewhere_ms,
         };
         let reachable = owner == node || (self.is_connected(node) && self.is_connected(owner));
-        let share = Share {
-            heard: self.visible_nodes(owner).len(),
-            nodes: self.nodes.len(),
+        let share = VisibleNodes {
+            visible: self.visible_nodes(owner).len(),
+            total: self.nodes.len(),
         };
         if !reachable || self.visible_nodes(owner)[0] != owner {
             let draw = (self.numbers * 7919 % 1000) as f64 / 1000.0;
--- a/crates/catalog/src/allowed_regions.rs
+++ b/crates/catalog/src/allowed_regions.rs
@@ -7,11 +7,11 @@
 
 /// The regions in which one request may be served. The default allows all regions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Homes(Option<Vec<Arc<str>>>);
+pub struct AllowedRegions(Option<Vec<Arc<str>>>);
 
-impl Homes {
+impl AllowedRegions {
     /// Returns the allowed regions of a request on `route` from a caller of `tenant`.
-    pub fn of(route: &Route, tenant: Option<&Tenant>) -> Self {
+    pub fn for_request(route: &Route, tenant: Option<&Tenant>) -> Self {
         let tenant_regions = tenant.map_or(&[][..], |tenant| &tenant.regions);
         match (&route.regions[..], tenant_regions) {
             ([], []) => Self(None),
@@ -27,7 +27,7 @@
 
     /// Returns whether the request may be served in `region`. `None` stands for an unknown
     /// region, which is allowed only if all regions are.
-    pub fn allow(&self, region: Option<&Arc<str>>) -> bool {
+    pub fn includes(&self, region: Option<&Arc<str>>) -> bool {
         self.0
             .as_ref()
             .is_none_or(|allowed| region.is_some_and(|region| allowed.contains(region)))
--- a/crates/catalog/src/answer.rs
+++ b/crates/catalog/src/answer.rs
@@ -1,6 +1,6 @@
 //! Facts that the gateway reads from the head of a runner's answer.
 
-use crate::RunnerNotice;
+use crate::RunnerSignals;
 
 /// Facts from the head of a runner's answer, independent of the platform's header names.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     pub request_id: Option<String>,
     /// Name of the runner that answers ([`Runner::name`](crate::Runner::name)); `None` if
     /// the answer does not state it.
-    pub runner: Option<String>,
+    pub runner_name: Option<String>,
     /// Whether the runner states that the request did not run.
     pub not_run: bool,
     /// Whether the answer carries the runner's signature. A success without it is not
@@ -23,5 +23,5 @@
     /// Whether the body has a content encoding, which a valid answer of a runner never has.
     pub encoded: bool,
     /// Signals of the runner about itself, independent of the request.
-    pub notice: RunnerNotice,
+    pub signals: RunnerSignals,
 }
--- a/crates/catalog/src/dialect.rs
+++ b/crates/catalog/src/dialect.rs
@@ -61,7 +61,7 @@
     fn read_answer(&self, head: &response::Parts) -> AnswerFacts;
     /// Returns the headers of an answer that the gateway itself gives to the request with
     /// the id `request_id`.
-    fn own_headers(&self, request_id: Option<&str>) -> HeaderMap;
+    fn own_answer_headers(&self, request_id: Option<&str>) -> HeaderMap;
     /// Builds the HTTP request for the report of `runner`, given by its name.
     fn report_call(&self, runner: &str) -> Request<Bytes>;
     /// Parses a runner's report from its HTTP answer.
@@ -88,10 +88,10 @@
     fn read_object(&self, key: &str, value: &[u8]) -> Result<StoredObject, DialectError>;
     /// Returns the name of the runner whose entry has the key `key`; `None` if `key` belongs
     /// to something else.
-    fn runner_of_key<'a>(&self, key: &'a str) -> Option<&'a str>;
+    fn runner_name_in_key<'a>(&self, key: &'a str) -> Option<&'a str>;
     /// Returns the zone that the operators evacuate by writing `key`; `None` if `key` belongs
     /// to something else.
-    fn evacuation_of_key<'a>(&self, key: &'a str) -> Option<&'a str>;
+    fn evacuated_zone_in_key<'a>(&self, key: &'a str) -> Option<&'a str>;
     /// Returns the path of the HTTP requests by which the platform checks readiness.
     fn readiness_path(&self) -> &str;
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -19,7 +19,7 @@
 mod store;
 mod tenants;
 
-pub use allowed_regions::Homes;
+pub use allowed_regions::AllowedRegions;
 pub use answer::AnswerFacts;
 pub use configuration::{
     Backend, ClientLimits, ColdSpec, Configuration, EngineSpec, ModelSpec, RequestKind, Route,
@@ -31,8 +31,8 @@
 pub use request::{Forward, ModelReference, RequestFacts};
 pub use revision::Revision;
 pub use routes::RouteTable;
-pub use runner::{HeldModel, Runner, RunnerState, WeightCopies, incarnation};
+pub use runner::{LoadedModel, Runner, RunnerState, WeightCopies, incarnation_id};
 pub use settings::{Bounds, ColdBounds, MachineLimits, NodeSettings, QuotaBounds};
-pub use signals::RunnerNotice;
+pub use signals::RunnerSignals;
 pub use store::{Event, Item, StoreAnswer, StoreCall, StoreError, Transaction, Write};
 pub use tenants::{Credential, Quota, QuotaUnit, Tenant};
--- a/crates/catalog/src/order.rs
+++ b/crates/catalog/src/order.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-use crate::{HeldModel, WeightCopies};
+use crate::{LoadedModel, WeightCopies};
 
 /// The load or unload that an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,7 +116,7 @@
     /// Whether the runner is executing an order.
     pub busy: bool,
     /// Models loaded on the runner.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Adapters whose load has not finished, as pairs of model and adapter.
     pub pending_adapters: Vec<(Arc<str>, Arc<str>)>,
     /// Local weight copies that the runner keeps in host memory and on disk.
--- a/crates/catalog/src/revision.rs
+++ b/crates/catalog/src/revision.rs
@@ -29,7 +29,7 @@
 
     /// Returns the fencing token of a lease that was acquired by this change. Tokens are
     /// unique and increase with the revision, over all eras.
-    pub fn token(self) -> u64 {
+    pub fn fencing_token(self) -> u64 {
         (u64::from(self.era) << TOKEN_NUMBER_BITS) | self.number
     }
 }
--- a/crates/catalog/src/runner.rs
+++ b/crates/catalog/src/runner.rs
@@ -16,7 +16,7 @@
 
 /// A model loaded in a runner's accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// Name of the model.
     pub model: Arc<str>,
     /// Version of the loaded weights.
@@ -38,7 +38,7 @@
 /// One incarnation of a runner: the time from one start to its exit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Runner {
-    /// Id of the incarnation (see [`incarnation`]). Two incarnations of a runner have
+    /// Id of the incarnation (see [`incarnation_id`]). Two incarnations of a runner have
     /// different ids, so that state kept under an id is not applied to a later incarnation.
     pub id: Arc<str>,
     /// Name of the runner, which the runner checks in calls to it. A restarted runner may
@@ -65,14 +65,14 @@
     /// Sequence number of the heartbeat by which the runner wrote the entry.
     pub heartbeat: u64,
     /// Models loaded on the runner; empty for plain services.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Local weight copies that the runner keeps; empty for plain services.
     pub copies: WeightCopies,
 }
 
 /// Returns the id of the incarnation of the runner `name` that started at `born`, in
 /// milliseconds since 1970. Without `born`, the id is the name.
-pub fn incarnation(name: &Arc<str>, born: Option<u64>) -> Arc<str> {
+pub fn incarnation_id(name: &Arc<str>, born: Option<u64>) -> Arc<str> {
     match born {
         Some(born) => format!("{name}@{born}").into(),
         None => name.clone(),
--- a/crates/catalog/src/settings.rs
+++ b/crates/catalog/src/settings.rs
@@ -61,7 +61,7 @@
     /// Time from the platform's request to stop until it kills the process.
     pub grace_period: Duration,
     /// Maximum time until an accepted configuration must be in force on all nodes.
-    pub change_in_force: Duration,
+    pub configuration_apply_time: Duration,
     /// Maximum time after which a draining runner must get no more work.
     pub drain_timeout: Duration,
     /// Maximum ratio of retries to requests, over all nodes.
@@ -80,12 +80,12 @@
     pub load_overage: f64,
     /// Maximum time after which no node serves a revoked credential, even if it cannot reach
     /// the store; `None` if this is required only of nodes that can.
-    pub revocation: Option<Duration>,
+    pub revocation_time: Option<Duration>,
     /// Amounts by which tenants may exceed their limits.
     pub quota: QuotaBounds,
     /// Maximum time until the evacuation of a zone must be in force; `None` for a site
     /// whose zones are not evacuated.
-    pub evacuation: Option<Duration>,
+    pub evacuation_time: Option<Duration>,
     /// Amounts by which all nodes together may exceed the request rate of cold runners.
     pub cold: ColdBounds,
 }
--- a/crates/catalog/src/signals.rs
+++ b/crates/catalog/src/signals.rs
@@ -6,12 +6,12 @@
 
 /// Signals of a runner about itself in the head of one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct RunnerNotice {
+pub struct RunnerSignals {
     /// The rate limit that the runner advertises; `None` if the answer names none.
     pub limit: Option<RunnerLimit>,
     /// Whether the runner is draining: it takes no new work and exits soon.
-    pub leaves: bool,
+    pub draining: bool,
     /// Time for which the runner asks this node to send it nothing (its `Retry-After`);
     /// `None` if it does not ask for a pause.
-    pub pause: Option<Duration>,
+    pub requested_pause: Option<Duration>,
 }
--- a/crates/control-log/src/spread.rs
+++ b/crates/control-log/src/spread.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use barleyspar_domain::{NodeName, ZoneName, ranked};
+use barleyspar_domain::{NodeName, ZoneName, by_rendezvous_weight};
 use barleyspar_kernel::Stage;
 use barleyspar_membership::{MemberRecord, View};
 use barleyspar_peer::call;
@@ -122,7 +122,7 @@
     entries: Vec<Entry>,
 ) -> ZoneInForce {
     let names = members.iter().map(|member| &member.name);
-    let distributors = ranked(&position, names);
+    let distributors = by_rendezvous_weight(&position, names);
     let time_limit = shared.config.peer_time_limit * 3;
     let request = Request::Spread(entries);
     for distributor in distributors.into_iter().take(DISTRIBUTORS_TRIED) {
--- a/crates/dispatch/src/candidates.rs
+++ b/crates/dispatch/src/candidates.rs
@@ -69,7 +69,9 @@
 
     /// Whether the zone of the runner lies in a region where `query` may be served.
     pub(crate) fn is_in_allowed_region(&self, entry: &RunnerEntry, query: &Query) -> bool {
-        query.homes.allow(self.site.regions.get(&entry.runner.zone))
+        query
+            .homes
+            .includes(self.site.regions.get(&entry.runner.zone))
     }
 
     /// Whether one more request now keeps this node within its share of the rate that a
--- a/crates/dispatch/src/cold_pacing.rs
+++ b/crates/dispatch/src/cold_pacing.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{ColdBounds, ColdSpec};
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 
 /// Number of groups of nodes that may each take themselves for the whole cluster: the two
 /// sides of a network partition.
@@ -33,10 +33,10 @@
 ) -> Option<Duration> {
     let allowed_per_second = spec.per_second * bounds.overage + bounds.tolerance;
     let callers = (allowed_per_second / MEMBERSHIP_VIEWS).floor().max(1.0);
-    let own_rank = rank(&id, own);
+    let own_rank = rendezvous_weight(&id, own);
     let members_before_own = members
         .iter()
-        .filter(|member| ***member != *own && rank(&id, member) > own_rank)
+        .filter(|member| ***member != *own && rendezvous_weight(&id, member) > own_rank)
         .count();
     let node_count = members.len().max(1);
     let actual_callers = callers.min(node_count as f64);
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::ModelReference;
-use barleyspar_domain::part_left;
+use barleyspar_domain::decay_factor;
 use serde::{Deserialize, Serialize};
 
 /// Half-life of the exponentially decaying request rate.
@@ -130,7 +130,7 @@
     let age = demand
         .rate_at
         .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-    demand.rate * part_left(age, RATE_HALF_LIFE)
+    demand.rate * decay_factor(age, RATE_HALF_LIFE)
 }
 
 fn demand_item(
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{ColdBounds, Configuration, ModelReference};
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 
 use crate::budget::{BudgetLimits, BudgetShare, RetryBudget};
 use crate::cold_start::ColdStarts;
@@ -176,9 +176,10 @@
     /// Returns this node's share of the retry budget of `service`. Nodes are ordered by
     /// rendezvous hashing, so that the order differs between services.
     fn budget_share(&self, service: &Arc<str>) -> BudgetShare {
-        let own_rank = rank(service, &self.name);
-        let ranks_higher =
-            |member: &&Arc<str>| **member != self.name && rank(service, *member) > own_rank;
+        let own_rank = rendezvous_weight(service, &self.name);
+        let ranks_higher = |member: &&Arc<str>| {
+            **member != self.name && rendezvous_weight(service, *member) > own_rank
+        };
         BudgetShare {
             nodes: self.node_count(),
             position: self.members.iter().filter(ranks_higher).count(),
@@ -224,7 +225,7 @@
         let context = SelectionContext {
             zone: &self.zone,
             nodes: self.node_count(),
-            seed: rank(&self.next_id, &*self.name),
+            seed: rendezvous_weight(&self.next_id, &*self.name),
             now,
         };
         let index = cheapest_candidate(&candidates, query, context)?;
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use barleyspar_domain::part_left;
+use barleyspar_domain::decay_factor;
 
 /// Half-life of the weight of an observed success or failure.
 const HALF_LIFE: Duration = Duration::from_secs(4);
@@ -168,7 +168,7 @@
 
     fn decay_factor(&self, now: Instant) -> f64 {
         self.updated_at.map_or(1.0, |at| {
-            part_left(now.saturating_duration_since(at), HALF_LIFE)
+            decay_factor(now.saturating_duration_since(at), HALF_LIFE)
         })
     }
 
--- a/crates/dispatch/src/inventory.rs
+++ b/crates/dispatch/src/inventory.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use barleyspar_catalog::HeldModel;
+use barleyspar_catalog::LoadedModel;
 use serde::{Deserialize, Serialize};
 
 /// The models of one runner, taken by the placement leader from the runner's own report.
@@ -13,7 +13,7 @@
     /// Number of orders that the runner has taken; a higher one is newer.
     pub sequence: u64,
     /// Models loaded on the runner, without those that it is ordered to unload.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Models that the runner is ordered to unload. The runner's entry names them until
     /// their last request has ended, and the runner refuses new requests for them.
     pub unloading: Vec<Arc<str>>,
--- a/crates/dispatch/src/query.rs
+++ b/crates/dispatch/src/query.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{Homes, ModelReference, Runner};
+use barleyspar_catalog::{AllowedRegions, ModelReference, Runner};
 
 /// Identifies a waiting request in the dispatcher.
 pub type Ticket = u64;
@@ -39,7 +39,7 @@
     /// another retry, so its request waits longer.
     pub returning: bool,
     /// The regions in which the request may be served.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// Ids of the runners that this request must not go to, since it failed there.
     pub excluded: Vec<Arc<str>>,
     /// Kind of the attempt before this one, which decides what this one costs.
--- a/crates/dispatch/src/runner.rs
+++ b/crates/dispatch/src/runner.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, LazyLock};
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{HeldModel, ModelReference, Runner, RunnerState};
+use barleyspar_catalog::{LoadedModel, ModelReference, Runner, RunnerState};
 
 use crate::health::Health;
 use crate::inventory::Inventory;
@@ -17,7 +17,7 @@
 
 /// Returns the key of the runner incarnation with this id: a hash, the same at all nodes.
 pub fn runner_key(id: &str) -> RunnerKey {
-    barleyspar_domain::rank("runner", id) as RunnerKey
+    barleyspar_domain::rendezvous_weight("runner", id) as RunnerKey
 }
 
 /// Time after an inventory in which an arriving entry may still be older than the
@@ -82,7 +82,7 @@
     last_report: Option<InventoryReport>,
     /// Models of an entry that arrived shortly after an inventory and may be older than
     /// it.
-    unconfirmed_models: Option<Vec<HeldModel>>,
+    unconfirmed_models: Option<Vec<LoadedModel>>,
     /// Usual seconds between two events of a stream, by model.
     event_gaps: HashMap<Arc<str>, f64>,
     /// The rate limit; `None` if the runner never advertised one.
@@ -417,7 +417,7 @@
 
     /// Returns the models that the runner holds. Models of an entry that followed an
     /// inventory closely count only after [`ENTRY_LAG`].
-    fn models(&self, now: Instant) -> &[HeldModel] {
+    fn models(&self, now: Instant) -> &[LoadedModel] {
         let observations = self.observations();
         match &observations.unconfirmed_models {
             Some(models) if !observations.has_recent_report(now) => models,
--- a/crates/dispatch/src/selection.rs
+++ b/crates/dispatch/src/selection.rs
@@ -51,7 +51,7 @@
     /// to those in flight.
     fn load_jitter(&self, entry: &RunnerEntry) -> f64 {
         let strength = (self.nodes.saturating_sub(1) as f64 / FULL_JITTER_NODES).min(1.0);
-        let random = barleyspar_domain::rank(&self.seed, &*entry.runner.id) as f64;
+        let random = barleyspar_domain::rendezvous_weight(&self.seed, &*entry.runner.id) as f64;
         JITTER_REQUESTS * strength * random / u64::MAX as f64
     }
 }
@@ -121,6 +121,7 @@
 /// Returns the index of the candidate that rendezvous hashing selects for `key`. All nodes
 /// with the same candidates select the same one, so its cache most likely holds the prefix.
 fn likely_cached_at(candidates: &[&RunnerEntry], key: u64) -> Option<usize> {
-    (0..candidates.len())
-        .max_by_key(|index| barleyspar_domain::rank(&key, &*candidates[*index].runner.id))
+    (0..candidates.len()).max_by_key(|index| {
+        barleyspar_domain::rendezvous_weight(&key, &*candidates[*index].runner.id)
+    })
 }
--- a/crates/dispatch/tests/allowed_regions.rs
+++ b/crates/dispatch/tests/allowed_regions.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{Homes, RequestKind, Route, Tenant};
+use barleyspar_catalog::{AllowedRegions, RequestKind, Route, Tenant};
 use barleyspar_dispatch::{Acquired, RefusalReason};
 use common::{SECOND, dispatcher_with, query, runner};
 
@@ -42,7 +42,8 @@
 fn regions_of_route_and_tenant_both_apply() {
     let region: Arc<str> = "region".into();
     let allowed = |of_route: &[&str], of_tenant: &[&str]| {
-        Homes::of(&route(of_route), Some(&tenant(of_tenant))).allow(Some(&region))
+        AllowedRegions::for_request(&route(of_route), Some(&tenant(of_tenant)))
+            .includes(Some(&region))
     };
     assert!(allowed(&[], &[]));
     assert!(allowed(&["region"], &[]));
@@ -50,7 +51,7 @@
     assert!(!allowed(&["else"], &[]));
     assert!(!allowed(&[], &["else"]));
     assert!(!allowed(&["region"], &["else"]));
-    assert!(!Homes::of(&route(&["region"]), None).allow(None));
+    assert!(!AllowedRegions::for_request(&route(&["region"]), None).includes(None));
 }
 
 #[test]
@@ -60,7 +61,7 @@
     runner_with_copy.copies.memory.push("cold".into());
     let mut dispatcher = dispatcher_with(runner_with_copy, now);
     let mut restricted = query(now, SECOND, 8 * SECOND);
-    restricted.homes = Homes::of(&route(&["else"]), None);
+    restricted.homes = AllowedRegions::for_request(&route(&["else"]), None);
     let acquired = dispatcher.acquire(restricted, now);
     let waiting_time = Duration::from_millis(200);
     match acquired {
--- a/crates/dispatch/tests/cold_runners.rs
+++ b/crates/dispatch/tests/cold_runners.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{ColdSpec, HeldModel, Runner, Service};
+use barleyspar_catalog::{ColdSpec, LoadedModel, Runner, Service};
 use barleyspar_dispatch::{Acquired, BudgetLimits, Dispatcher};
 use common::{SECOND, configuration, query, runner, site};
 
@@ -25,7 +25,7 @@
         id: id.into(),
         zone: zone.into(),
         slots: 10_000,
-        models: vec![HeldModel {
+        models: vec![LoadedModel {
             model: "cold".into(),
             version: 1,
             adapters: Vec::new(),
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{
-    ColdBounds, Configuration, EngineSpec, Homes, ModelReference, ModelSpec, Runner, RunnerState,
-    Service,
+    AllowedRegions, ColdBounds, Configuration, EngineSpec, ModelReference, ModelSpec, Runner,
+    RunnerState, Service,
 };
 use barleyspar_dispatch::{AttemptKind, BudgetLimits, Dispatcher, Query, Site};
 
@@ -111,7 +111,7 @@
         target_latency: Some(target),
         patience: Some(patience),
         returning: false,
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
         excluded: Vec::new(),
         attempt: AttemptKind::First,
         may_wait: true,
--- a/crates/dispatch/tests/inventory.rs
+++ b/crates/dispatch/tests/inventory.rs
@@ -4,19 +4,19 @@
 
 use std::time::Instant;
 
-use barleyspar_catalog::HeldModel;
+use barleyspar_catalog::LoadedModel;
 use barleyspar_dispatch::{Acquired, Dispatcher, Inventory, Outcome};
 use common::{LOAD, SECOND, dispatcher, query, runner};
 
-fn held_model() -> HeldModel {
-    HeldModel {
+fn held_model() -> LoadedModel {
+    LoadedModel {
         model: "cold".into(),
         version: 1,
         adapters: Vec::new(),
     }
 }
 
-fn inventory(sequence: u64, models: Vec<HeldModel>, unloading: &[&str]) -> Inventory {
+fn inventory(sequence: u64, models: Vec<LoadedModel>, unloading: &[&str]) -> Inventory {
     Inventory {
         runner: runner().id,
         sequence,
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{HeldModel, Runner, RunnerLimit};
+use barleyspar_catalog::{LoadedModel, Runner, RunnerLimit};
 use barleyspar_dispatch::{
     Acquired, AdvertisedLimit, Dispatcher, LimitNews, RatePermitAnswer, RefusalReason, runner_key,
 };
@@ -16,7 +16,7 @@
 
 /// A runner that holds the model.
 fn holder(id: &str) -> Runner {
-    let held = HeldModel {
+    let held = LoadedModel {
         model: "cold".into(),
         version: 1,
         adapters: Vec::new(),
--- a/crates/dispatch/tests/requested_pauses.rs
+++ b/crates/dispatch/tests/requested_pauses.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{HeldModel, Runner};
+use barleyspar_catalog::{LoadedModel, Runner};
 use barleyspar_dispatch::{Acquired, Dispatcher, Outcome, RefusalReason};
 use common::{SECOND, dispatcher_with, query, runner};
 
@@ -13,7 +13,7 @@
 
 /// A runner that holds the model.
 fn holder() -> Runner {
-    let held = HeldModel {
+    let held = LoadedModel {
         model: "cold".into(),
         version: 1,
         adapters: Vec::new(),
--- a/crates/domain/src/grant.rs
+++ b/crates/domain/src/grant.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether `runner` may load the model: it is listed and not being revoked.
-    pub fn allows(&self, runner: &RunnerName) -> bool {
+    pub fn may_load(&self, runner: &RunnerName) -> bool {
         self.holder(runner)
             .is_some_and(|holder| holder.state == HolderState::Granted)
     }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -13,14 +13,14 @@
 mod spec;
 mod verdict;
 
-pub use decay::part_left;
+pub use decay::decay_factor;
 pub use fence::{Epoch, Fence};
 pub use grant::{Grant, Holder, HolderState};
 pub use name::{
     AdapterName, CustomerName, ModelName, NameError, NodeName, OperatorName, PolicyName,
     RunnerName, ServiceName, ZoneName,
 };
-pub use rendezvous::{rank, ranked};
+pub use rendezvous::{by_rendezvous_weight, rendezvous_weight};
 pub use runner::{Incarnation, RunnerKind, RunnerRecord, RunnerState};
 pub use spec::{
     AdapterSpec, CustomerSpec, ModelSpec, ObjectKey, ObjectKind, ObjectSpec, PolicySpec,
--- a/crates/domain/src/verdict.rs
+++ b/crates/domain/src/verdict.rs
@@ -30,7 +30,7 @@
 
     /// Returns the verdict on a request that was sent twice, from the verdicts on the two
     /// attempts: the one after which more may have happened.
-    pub fn and(self, other: Self) -> Self {
+    pub fn combined_with(self, other: Self) -> Self {
         self.max(other)
     }
 }
--- a/crates/domain/tests/rendezvous.rs
+++ b/crates/domain/tests/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing reassigns only the keys of a lost member, and epochs and fences are
 //! ordered so that an engine refuses orders of an outdated keeper.
 
-use barleyspar_domain::{Epoch, Fence, ranked};
+use barleyspar_domain::{Epoch, Fence, by_rendezvous_weight};
 use quickcheck::{Gen, QuickCheck};
 
 fn check(property: fn(Vec<u16>, Vec<u16>) -> bool) {
@@ -21,8 +21,10 @@
     };
     let remaining: Vec<u16> = members.iter().copied().filter(|m| *m != lost).collect();
     keys.iter().all(|key| {
-        let before = ranked(key, members.iter().copied())[0];
-        let after = ranked(key, remaining.iter().copied()).first().copied();
+        let before = by_rendezvous_weight(key, members.iter().copied())[0];
+        let after = by_rendezvous_weight(key, remaining.iter().copied())
+            .first()
+            .copied();
         before == lost || after == Some(before)
     })
 }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{Fingerprint, cost};
+use barleyspar_callers::{Fingerprint, request_cost};
 use barleyspar_catalog::{RequestFacts, RequestKind, Route, Tenant};
 use bytes::Bytes;
 use http::header::HOST;
@@ -106,7 +106,7 @@
     let Some((tenant, quota)) = tenant_quota else {
         return Ok(None);
     };
-    let cost = cost(quota.unit, facts);
+    let cost = request_cost(quota.unit, facts);
     let name = tenant.name.clone();
     let patience = route.target_latency.unwrap_or_default() / QUOTA_PATIENCE_DIVISOR;
     let decision = context.quota.admit(name.clone(), cost, patience).await;
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -97,7 +97,7 @@
         );
         let mut response = Response::new(AnswerBody::whole(text));
         *response.status_mut() = self.status;
-        *response.headers_mut() = context.dialect.own_headers(request_id);
+        *response.headers_mut() = context.dialect.own_answer_headers(request_id);
         response
             .headers_mut()
             .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -209,7 +209,7 @@
 pub fn rejection_outcome(answered: &Answered) -> Outcome {
     if answered.status == StatusCode::MISDIRECTED_REQUEST {
         misdirected_outcome(answered)
-    } else if answered.facts.notice.pause.is_some() {
+    } else if answered.facts.signals.requested_pause.is_some() {
         Outcome::Paused
     } else {
         Outcome::Busy
@@ -220,7 +220,7 @@
 /// the runner does not have the model loaded.
 fn misdirected_outcome(answered: &Answered) -> Outcome {
     let expected = &answered.permit.runner().name;
-    match &answered.facts.runner {
+    match &answered.facts.runner_name {
         Some(answering) if **answering != **expected => Outcome::Replaced,
         _ => Outcome::NotHeld,
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{AccessBounds, Denial, Knowledge, authorize};
+use barleyspar_callers::{AccessBounds, ConfigurationView, Denial, authorize};
 use barleyspar_catalog::{Credential, Dialect, NodeSettings, Route, RouteTable, Runner, Tenant};
 use tokio::sync::{Semaphore, watch};
 use tokio::time::Instant;
@@ -101,10 +101,10 @@
     }
 
     /// Returns `table` together with the staleness of this node's view.
-    fn local_view<'a>(&self, table: &'a RouteTable) -> Knowledge<'a> {
-        Knowledge {
+    fn local_view<'a>(&self, table: &'a RouteTable) -> ConfigurationView<'a> {
+        ConfigurationView {
             table,
-            age: self.view_staleness(),
+            staleness: self.view_staleness(),
         }
     }
 
--- a/crates/gateway/src/crashes/mod.rs
+++ b/crates/gateway/src/crashes/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{Fingerprint, Progress, Quarantine, QuarantineNews};
+use barleyspar_callers::{Fingerprint, Progress, Quarantine, QuarantineUpdate};
 use barleyspar_catalog::Runner;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -58,7 +58,7 @@
     ProbeFinished(Arc<Runner>, bool),
     CrashCounted(Broken, QuotaDecision),
     RequestServed(Fingerprint),
-    QuarantineUpdate(Vec<QuarantineNews>),
+    QuarantineUpdate(Vec<QuarantineUpdate>),
 }
 
 /// A handle to the crash task of this node; clones share the task.
@@ -83,7 +83,7 @@
     }
 
     /// Applies quarantine updates received from another node.
-    pub fn hear(&self, updates: Vec<QuarantineNews>) {
+    pub fn hear(&self, updates: Vec<QuarantineUpdate>) {
         if !updates.is_empty() {
             self.send(Command::QuarantineUpdate(updates));
         }
@@ -93,7 +93,7 @@
     /// runners.
     pub fn quarantined(&self, request: Fingerprint) -> Option<Duration> {
         let now = Instant::now().into_std();
-        self.quarantine.borrow().left(request, now)
+        self.quarantine.borrow().remaining(request, now)
     }
 
     /// Waits until `request` is put in quarantine, and returns the remaining time.
--- a/crates/gateway/src/crashes/task.rs
+++ b/crates/gateway/src/crashes/task.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{Fingerprint, Quarantine, QuarantineNews, RecentlyServed};
+use barleyspar_callers::{Fingerprint, Quarantine, QuarantineUpdate, RecentlyServed};
 use barleyspar_catalog::Runner;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -103,15 +103,15 @@
         }
     }
 
-    fn apply_updates(&self, updates: &[QuarantineNews]) {
+    fn apply_updates(&self, updates: &[QuarantineUpdate]) {
         let now = now();
         let mut added = Vec::new();
         self.quarantine.send_if_modified(|quarantine| {
-            added = quarantine.hear(updates, now);
+            added = quarantine.apply_updates(updates, now);
             !added.is_empty()
         });
         for request in added {
-            let remaining = self.quarantine.borrow().left(request, now);
+            let remaining = self.quarantine.borrow().remaining(request, now);
             journal::quarantined(request, remaining.unwrap_or_default(), "node");
         }
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -131,7 +131,7 @@
         }
         let evacuated: Vec<&str> = items
             .iter()
-            .filter_map(|item| dialect.evacuation_of_key(&item.key))
+            .filter_map(|item| dialect.evacuated_zone_in_key(&item.key))
             .collect();
         let mut zones = self.evacuated.clone();
         zones.retain(|zone, _| evacuated.contains(&&**zone) || self.restored.is_zone_missing(zone));
@@ -140,13 +140,13 @@
         // are applied.
         let (others, runners): (Vec<&Item>, Vec<&Item>) = items
             .iter()
-            .partition(|item| dialect.runner_of_key(&item.key).is_none());
+            .partition(|item| dialect.runner_name_in_key(&item.key).is_none());
         for item in others.iter().chain(&runners) {
             self.apply_written(item, true);
         }
         let runner_names: HashSet<&str> = runners
             .iter()
-            .filter_map(|item| dialect.runner_of_key(&item.key))
+            .filter_map(|item| dialect.runner_name_in_key(&item.key))
             .collect();
         self.runners.retain(|name, _| {
             runner_names.contains(&**name) || self.restored.is_runner_missing(name)
@@ -175,11 +175,11 @@
         let dialect = self.context.dialect.clone();
         let runners: HashSet<&str> = items
             .iter()
-            .filter_map(|item| dialect.runner_of_key(&item.key))
+            .filter_map(|item| dialect.runner_name_in_key(&item.key))
             .collect();
         let zones: HashSet<&str> = items
             .iter()
-            .filter_map(|item| dialect.evacuation_of_key(&item.key))
+            .filter_map(|item| dialect.evacuated_zone_in_key(&item.key))
             .collect();
         let is_runner_missing = |name: &&Arc<str>| !runners.contains(&***name);
         let is_zone_missing = |zone: &&Arc<str>| !zones.contains(&***zone);
@@ -238,7 +238,7 @@
             Err(error) => {
                 tracing::warn!(event = "object_unreadable", key = item.key, %error);
                 let dialect = self.context.dialect.clone();
-                match dialect.runner_of_key(&item.key) {
+                match dialect.runner_name_in_key(&item.key) {
                     // The entry is not one of this system, or it names no usable
                     // runner.
                     Some(name) => self.drop_runner(name),
@@ -254,11 +254,11 @@
             self.leader.send_replace(None);
         } else if let Some(name) = key.strip_prefix(MEMBER_PREFIX) {
             self.peers.member_removed(name);
-        } else if let Some(zone) = dialect.evacuation_of_key(key) {
+        } else if let Some(zone) = dialect.evacuated_zone_in_key(key) {
             self.update_evacuated(|zones| {
                 zones.remove(zone);
             });
-        } else if let Some(name) = dialect.runner_of_key(key) {
+        } else if let Some(name) = dialect.runner_name_in_key(key) {
             self.restored.entry_removed(name);
             self.drop_runner(name);
         }
@@ -295,7 +295,7 @@
     /// earliest.
     fn evacuation_deadline(&self) -> Instant {
         let now = Instant::now();
-        let bound = self.context.settings.bounds.evacuation;
+        let bound = self.context.settings.bounds.evacuation_time;
         let complete_at = *self.confirmed.borrow();
         complete_at.zip(bound).map_or(now, |(complete_at, bound)| {
             complete_at + bound.mul_f64(EVACUATION_FRACTION)
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use barleyspar_callers::{Denial, Progress};
 use barleyspar_catalog::{
-    Forward, Homes, ModelReference, RequestFacts, RequestKind, Route, Runner, Tenant,
+    AllowedRegions, Forward, ModelReference, RequestFacts, RequestKind, Route, Runner, Tenant,
 };
 use barleyspar_dispatch::{AttemptKind, Failure, Outcome, Query};
 use barleyspar_domain::Verdict;
@@ -254,7 +254,7 @@
                 .stream_patience
                 .map(|patience| patience.saturating_sub(since_last_event)),
             returning: self.is_client_retry(),
-            homes: Homes::of(&self.route, self.tenant.as_deref()),
+            homes: AllowedRegions::for_request(&self.route, self.tenant.as_deref()),
             excluded: self.excluded.clone(),
             attempt,
             may_wait,
@@ -280,7 +280,10 @@
     /// the same model and the same shared prefix.
     fn affinity(&self) -> Option<u64> {
         let wanted = self.wanted()?;
-        Some(barleyspar_domain::rank(&wanted, &self.facts.shared_prefix))
+        Some(barleyspar_domain::rendezvous_weight(
+            &wanted,
+            &self.facts.shared_prefix,
+        ))
     }
 
     /// Returns the values that the gateway adds to the request's headers for `runner`.
@@ -376,7 +379,7 @@
     /// Records that the request ran or may have run at `runner`. The tenant's charge is
     /// spent from then on, and further attempts go to other runners.
     pub fn record_run(&mut self, runner: &Arc<str>, verdict: Verdict) {
-        self.verdict = self.verdict.and(verdict);
+        self.verdict = self.verdict.combined_with(verdict);
         if let Some(charge) = &mut self.charge {
             charge.used();
         }
--- a/crates/gateway/src/feed/state_tests.rs
+++ b/crates/gateway/src/feed/state_tests.rs
@@ -23,7 +23,7 @@
     let second = Duration::from_secs(1);
     Bounds {
         grace_period: 8 * second,
-        change_in_force: 2 * second,
+        configuration_apply_time: 2 * second,
         drain_timeout: 2 * second,
         retry_ratio: 0.2,
         retry_window: 10 * second,
@@ -32,13 +32,13 @@
         fencing_enforced: true,
         load_window: 5 * second,
         load_overage: 1.1,
-        revocation: None,
+        revocation_time: None,
         quota: QuotaBounds {
             window: 8 * second,
             overage: 0.1,
             tolerance: 0.0,
         },
-        evacuation: None,
+        evacuation_time: None,
         cold: ColdBounds {
             overage: 1.0,
             tolerance: 0.0,
--- a/crates/gateway/src/feed/times.rs
+++ b/crates/gateway/src/feed/times.rs
@@ -45,8 +45,8 @@
 impl FeedTimes {
     /// Derives the times from the shortest of the site's bounds on taking over changes.
     pub fn new(bounds: &Bounds) -> Self {
-        let bound = bounds.change_in_force.min(bounds.drain_timeout);
-        let bound = bounds.evacuation.map_or(bound, |time| bound.min(time));
+        let bound = bounds.configuration_apply_time.min(bounds.drain_timeout);
+        let bound = bounds.evacuation_time.map_or(bound, |time| bound.min(time));
         Self {
             poll: bound.mul_f64(POLL_FRACTION),
             batch_pause: bound.mul_f64(BATCH_FRACTION),
--- a/crates/gateway/src/feed/tree.rs
+++ b/crates/gateway/src/feed/tree.rs
@@ -56,7 +56,10 @@
 type OrderKey = (Reverse<u32>, u64);
 
 fn order_key(name: &str, capacity: u32) -> OrderKey {
-    (Reverse(capacity), barleyspar_domain::rank("feed", name))
+    (
+        Reverse(capacity),
+        barleyspar_domain::rendezvous_weight("feed", name),
+    )
 }
 
 /// Returns the peers seen within `max_silence` that precede this node in the order,
@@ -139,7 +142,7 @@
         .min_by_key(|(name, _)| {
             (
                 abandoned_at(name),
-                barleyspar_domain::rank(&myself.name, name),
+                barleyspar_domain::rendezvous_weight(&myself.name, name),
             )
         })
         .map(|(name, peer)| Parent {
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use barleyspar_callers::{QuarantineNews, QuotaAnswer, QuotaRequest};
+use barleyspar_callers::{QuarantineUpdate, QuotaAnswer, QuotaRequest};
 use barleyspar_dispatch::{DemandItem, Inventory, LeavingNews, LimitNews, RunnerKey};
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     /// Runners that signalled that they are draining.
     pub leaving: Vec<LeavingNews>,
     /// Requests that must not be sent to any runner, since they crash runners.
-    pub quarantined: Vec<QuarantineNews>,
+    pub quarantined: Vec<QuarantineUpdate>,
 }
 
 /// A message from one node to another.
--- a/crates/gateway/src/names_tests.rs
+++ b/crates/gateway/src/names_tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_catalog::{HeldModel, Runner, RunnerState, WeightCopies};
+use barleyspar_catalog::{LoadedModel, Runner, RunnerState, WeightCopies};
 
 use super::{Names, UNUSED_ALLOWANCE};
 
@@ -19,7 +19,7 @@
         remaining: None,
         warming: Duration::ZERO,
         heartbeat: 1,
-        models: vec![HeldModel {
+        models: vec![LoadedModel {
             model: model.into(),
             version: 1,
             adapters: Vec::new(),
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/notices.rs
@@ -1,7 +1,7 @@
 //! Applies the signals that runners send in the headers of their answers (rate limit,
 //! draining, requested pause), whatever call the answer belongs to.
 
-use barleyspar_catalog::{AnswerFacts, Runner, RunnerNotice};
+use barleyspar_catalog::{AnswerFacts, Runner, RunnerSignals};
 use barleyspar_dispatch::AdvertisedLimit;
 use http::StatusCode;
 use tokio::time::Instant;
@@ -28,11 +28,11 @@
     if !is_from_called_runner(call.asked, status, facts) {
         return;
     }
-    let RunnerNotice {
+    let RunnerSignals {
         limit,
-        leaves,
-        pause,
-    } = facts.notice;
+        draining: leaves,
+        requested_pause: pause,
+    } = facts.signals;
     if limit.is_some() || call.always_limited {
         apply_limit(context, call, facts);
     }
@@ -52,7 +52,7 @@
 /// Returns whether the answer comes from the runner that was called. A misdirected request
 /// may be answered by another runner, at an address that was assigned to it since.
 fn is_from_called_runner(called: &Runner, status: StatusCode, facts: &AnswerFacts) -> bool {
-    match &facts.runner {
+    match &facts.runner_name {
         Some(answering) => **answering == *called.name,
         None => status != StatusCode::MISDIRECTED_REQUEST,
     }
@@ -62,7 +62,7 @@
 /// which the call was sent, since an answer that advertises a limit may have overtaken this
 /// one.
 fn apply_limit(context: &Context, call: &Heard<'_>, facts: &AnswerFacts) {
-    let limit = facts.notice.limit;
+    let limit = facts.signals.limit;
     context.metrics.limit_answer(call.call, limit.is_some());
     let at = if limit.is_some() {
         Instant::now()
--- a/crates/gateway/src/peers/members.rs
+++ b/crates/gateway/src/peers/members.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use barleyspar_catalog::NodeSettings;
-use barleyspar_domain::{rank, ranked};
+use barleyspar_domain::{by_rendezvous_weight, rendezvous_weight};
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
 
 /// Returns the key of the node with this name.
 pub fn node_key(name: &str) -> NodeKey {
-    rank("node", name) as NodeKey
+    rendezvous_weight("node", name) as NodeKey
 }
 
 /// A member as this node knows it.
@@ -200,7 +200,7 @@
         for (name, record) in others.chain([own]) {
             let rank_key = (
                 std::cmp::Reverse(record.capacity),
-                rank("relay", name),
+                rendezvous_weight("relay", name),
                 name,
             );
             zones.entry(&record.zone).or_default().push(rank_key);
@@ -231,7 +231,7 @@
             .into_iter()
             .partition(|name| zone_of(name) == Some(&*own.1.zone));
         let candidates = if near.is_empty() { far } else { near };
-        ranked(own.0, candidates).into_iter().next()
+        by_rendezvous_weight(own.0, candidates).into_iter().next()
     }
 }
 
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -210,7 +210,10 @@
         News {
             limits,
             leaving,
-            quarantined: self.quarantine.borrow().news(self.update_round, now),
+            quarantined: self
+                .quarantine
+                .borrow()
+                .updates_for_round(self.update_round, now),
         }
     }
 
--- a/crates/gateway/src/placement/inventories_tests.rs
+++ b/crates/gateway/src/placement/inventories_tests.rs
@@ -1,4 +1,4 @@
-use barleyspar_catalog::HeldModel;
+use barleyspar_catalog::LoadedModel;
 use barleyspar_dispatch::Inventory;
 
 use super::{MAX_MESSAGE_BYTES, split_into_messages};
@@ -8,7 +8,7 @@
 const PACKET_BYTES: usize = 1460;
 
 fn inventory(number: usize) -> Inventory {
-    let held = |model: usize| HeldModel {
+    let held = |model: usize| LoadedModel {
         model: format!("model-{number}-{model}").into(),
         version: 3,
         adapters: vec!["a7".into(), "a12".into()],
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -170,7 +170,7 @@
         match self.store.call(&call, CALL_TIMEOUT).await {
             Ok(StoreAnswer::Committed { revision }) if revision.era == era => Some(Lease::new(
                 lease,
-                revision.token(),
+                revision.fencing_token(),
                 grant_sent_at,
                 time_to_live,
                 quiet_from.into_std(),
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -61,7 +61,7 @@
         Some(Self {
             node: value.node,
             address: value.address,
-            token: Revision::new(value.era, revision.number).token(),
+            token: Revision::new(value.era, revision.number).fencing_token(),
             revision,
             known_since: Instant::now(),
         })
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::Share;
+use barleyspar_callers::VisibleNodes;
 use barleyspar_catalog::NodeSettings;
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 use tokio::time::Instant;
 
 use crate::peers::Heard;
@@ -92,10 +92,10 @@
     }
 
     /// Returns how many of all nodes are responsive, including this one.
-    pub fn responsive_share(&self) -> Share {
-        Share {
-            heard: self.nodes.len(),
-            nodes: self.node_count,
+    pub fn responsive_share(&self) -> VisibleNodes {
+        VisibleNodes {
+            visible: self.nodes.len(),
+            total: self.node_count,
         }
     }
 
@@ -106,7 +106,8 @@
         if let Some(owner) = self.owners.get(limit) {
             return owner.clone();
         }
-        let preference = |(name, capacity): &&(Arc<str>, u32)| (*capacity, rank(&**limit, &**name));
+        let preference =
+            |(name, capacity): &&(Arc<str>, u32)| (*capacity, rendezvous_weight(&**limit, &**name));
         let best = self.nodes.iter().max_by_key(preference);
         let owner = best.map_or(&self.this_node.0, |(name, _)| name).clone();
         if self.owners.len() >= MAXIMUM_CACHED {
--- a/crates/gateway/src/quota/owners_tests.rs
+++ b/crates/gateway/src/quota/owners_tests.rs
@@ -66,7 +66,7 @@
     let tenant: Arc<str> = "tenant".into();
     let mut alone = owners(1, &[0, 1, 10, 20], SILENCE);
     assert!(alone.is_owner(&tenant));
-    assert_eq!(alone.responsive_share().heard, 1);
+    assert_eq!(alone.responsive_share().visible, 1);
 }
 
 /// Guards against limits owned by a node that is gone: after a machine was replaced, its
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -7,7 +7,7 @@
 
 use barleyspar_callers::{QuotaAnswer, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Subject};
 use barleyspar_catalog::RunnerLimit;
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
@@ -181,8 +181,8 @@
             subject: pending.subject.clone(),
             named: pending.announced_limit,
             cost: pending.cost,
-            once_for: pending.once_for.clone(),
-            elsewhere_ms: self.ledger.asks(&pending.subject, &owner, now()),
+            charge_once_key: pending.once_for.clone(),
+            other_owner_asked_ms: self.ledger.record_question(&pending.subject, &owner, now()),
         };
         pending.attempts += 1;
         self.pending.insert(number, pending);
@@ -223,7 +223,8 @@
     /// Decides a request by the reserve because no owner has answered. A request that the
     /// reserve does not cover is retried while its patience lasts.
     fn decide_by_reserve(&mut self, number: u64, mut pending: Pending) {
-        let draw = rank(&self.last_number, &*self.context.settings.name) as f64 / u64::MAX as f64;
+        let draw = rendezvous_weight(&self.last_number, &*self.context.settings.name) as f64
+            / u64::MAX as f64;
         let granted = self
             .ledger
             .take_reserve(&pending.subject, pending.cost, draw, now());
--- a/crates/loading/benches/planner.rs
+++ b/crates/loading/benches/planner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{
-    ClientLimits, Configuration, EngineSpec, HeldModel, ModelSpec, Service, WeightCopies,
+    ClientLimits, Configuration, EngineSpec, LoadedModel, ModelSpec, Service, WeightCopies,
 };
 use barleyspar_dispatch::DemandItem;
 use barleyspar_loading::{DemandBook, PaceLimits, Planner, PlannerSettings, RunnerView, Switches};
@@ -63,7 +63,7 @@
 
 fn runner(number: usize, models: usize) -> RunnerView {
     let at = |offset: usize| name((number * MODELS_PER_RUNNER + offset * 7) % models);
-    let held = |model| HeldModel {
+    let held = |model| LoadedModel {
         model,
         version: 1,
         adapters: Vec::new(),
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use barleyspar_catalog::{HeldModel, ModelSpec, OrderAction, Runner, RunnerState, WeightCopies};
+use barleyspar_catalog::{LoadedModel, ModelSpec, OrderAction, Runner, RunnerState, WeightCopies};
 
 /// Where a load reads the model's weights from, fastest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,7 +66,7 @@
     /// Whether the runner is carrying out an order, or may be.
     pub busy: bool,
     /// Models loaded on the runner, with their adapters.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Adapters being loaded, as pairs of model and adapter.
     pub pending_adapters: Vec<(Arc<str>, Arc<str>)>,
     /// Models with a copy of their weights in the runner's host memory or on its disk.
@@ -121,7 +121,7 @@
     }
 
     /// Returns the loaded model of this name.
-    pub fn loaded_model(&self, model: &str) -> Option<&HeldModel> {
+    pub fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
         self.models.iter().find(|held| &*held.model == model)
     }
 
--- a/crates/loading/tests/planner.rs
+++ b/crates/loading/tests/planner.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{
-    ClientLimits, Configuration, EngineSpec, HeldModel, ModelSpec, OrderAction, Service,
+    ClientLimits, Configuration, EngineSpec, LoadedModel, ModelSpec, OrderAction, Service,
     WeightCopies,
 };
 use barleyspar_dispatch::DemandItem;
@@ -70,7 +70,7 @@
         busy: false,
         models: models
             .iter()
-            .map(|name| HeldModel {
+            .map(|name| LoadedModel {
                 model: (*name).into(),
                 version: 1,
                 adapters: Vec::new(),
@@ -98,7 +98,7 @@
 /// Ends the load ordered at `runner`.
 fn finish_load(runner: &mut RunnerView) {
     if let Some(OrderAction::LoadModel { model }) = runner.ordered.take() {
-        runner.models.push(HeldModel {
+        runner.models.push(LoadedModel {
             model,
             version: 1,
             adapters: Vec::new(),
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -7,7 +7,7 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-use barleyspar_domain::{NodeName, ZoneName, rank};
+use barleyspar_domain::{NodeName, ZoneName, rendezvous_weight};
 use tokio::time::Instant;
 
 use crate::messages::ZoneHash;
@@ -206,5 +206,5 @@
             (self.0.incarnation, dead, leaving).hash(state);
         }
     }
-    rank(row.record.name.as_str(), &Digest(&row.record))
+    rendezvous_weight(row.record.name.as_str(), &Digest(&row.record))
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use barleyspar_domain::{NodeName, ZoneName, rank, ranked};
+use barleyspar_domain::{NodeName, ZoneName, by_rendezvous_weight, rendezvous_weight};
 
 use crate::{MemberRecord, MemberStatus};
 
@@ -20,7 +20,7 @@
 
 /// The name with the highest weight for `key`.
 fn highest<'a>(key: &str, names: impl Iterator<Item = &'a NodeName>) -> Option<&'a NodeName> {
-    names.max_by_key(|name| (rank(key, name.as_str()), *name))
+    names.max_by_key(|name| (rendezvous_weight(key, name.as_str()), *name))
 }
 
 impl View {
@@ -84,7 +84,7 @@
             .values()
             .filter(|member| &member.zone == zone && member.status == MemberStatus::Alive)
             .map(|member| &member.name);
-        let names = ranked(&("relay", zone), candidates);
+        let names = by_rendezvous_weight(&("relay", zone), candidates);
         let chosen = names.into_iter().take(count);
         chosen.map(|name| &self.members[name]).collect()
     }
--- a/crates/placement/src/grants.rs
+++ b/crates/placement/src/grants.rs
@@ -5,7 +5,7 @@
 use barleyspar_control_log::{Change, ControlState};
 use barleyspar_domain::{
     Grant, Holder, HolderState, ModelName, ModelSpec, RunnerKind, RunnerName, RunnerRecord,
-    RunnerState, rank,
+    RunnerState, rendezvous_weight,
 };
 use barleyspar_policy::Decision;
 
@@ -125,7 +125,8 @@
             let granted = self.granted_bytes.get(&runner.name).copied().unwrap_or(0);
             u128::from(granted) * 1_000 / u128::from(runner.memory_bytes.max(1))
         };
-        let hash = |runner: &RunnerRecord| rank(model.name.as_str(), runner.name.as_str());
+        let hash =
+            |runner: &RunnerRecord| rendezvous_weight(model.name.as_str(), runner.name.as_str());
         self.state
             .runners()
             .values()
--- a/crates/placement/src/runner.rs
+++ b/crates/placement/src/runner.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use barleyspar_control_log::ControlState;
-use barleyspar_domain::{Epoch, Fence, ModelName, RunnerName, RunnerRecord, rank};
+use barleyspar_domain::{Epoch, Fence, ModelName, RunnerName, RunnerRecord, rendezvous_weight};
 use barleyspar_kernel::{Address, Inbox, Stage, StopHandle, StopSignal};
 use barleyspar_platform::engine::{Action, CacheTier, ControlError, HoldState, Inventory, Order};
 use rand::Rng;
@@ -75,7 +75,7 @@
         }
         self.position = state.position();
         let grants = state.grants().iter();
-        let here = grants.filter(|(_, grant)| grant.allows(runner));
+        let here = grants.filter(|(_, grant)| grant.may_load(runner));
         self.models = here.map(|(model, _)| model.clone()).collect();
     }
 }
@@ -119,7 +119,7 @@
 fn holder_number(address: SocketAddr) -> u64 {
     match address.ip() {
         IpAddr::V4(ip) => (u64::from(u32::from(ip)) << 16) | u64::from(address.port()),
-        IpAddr::V6(_) => rank("holder", &address),
+        IpAddr::V6(_) => rendezvous_weight("holder", &address),
     }
 }
 
--- a/crates/router/src/plain.rs
+++ b/crates/router/src/plain.rs
@@ -147,7 +147,7 @@
                 Ok(response) => return Ok(response),
                 Err(error) => error,
             };
-            verdict = verdict.and(error.verdict);
+            verdict = verdict.combined_with(error.verdict);
             tried.push(record.name.clone());
             let may_repeat = verdict == Verdict::NotRun || repeatable;
             let in_time = Instant::now() < call.deadline;
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -455,7 +455,7 @@
         error: &GenerateError,
         now: Instant,
     ) {
-        entry.verdict = entry.verdict.and(error.verdict());
+        entry.verdict = entry.verdict.combined_with(error.verdict());
         let target = self.targets.get_mut(&at.key);
         let replica = target.and_then(|t| t.replicas.get_mut(&at.runner));
         let mut costs_retry = false;
--- a/crates/standin/src/dialect.rs
+++ b/crates/standin/src/dialect.rs
@@ -4,7 +4,7 @@
 
 use barleyspar_catalog::{
     AnswerFacts, Configuration, Credential, Dialect, DialectError, Forward, HeaderOwner,
-    ModelReference, Order, OrderAnswer, Report, RequestFacts, Runner, RunnerLimit, RunnerNotice,
+    ModelReference, Order, OrderAnswer, Report, RequestFacts, Runner, RunnerLimit, RunnerSignals,
     StoreAnswer, StoreCall, StoreError, StoredObject,
 };
 use bytes::Bytes;
@@ -152,25 +152,25 @@
         let headers = &head.headers;
         AnswerFacts {
             request_id: text(headers, names::REQUEST_ID),
-            runner: None,
+            runner_name: None,
             not_run: headers.contains_key(names::NOT_RUN),
             signed: headers.contains_key(names::SIGNATURE),
             keep_alive_seconds: Some(10),
             event_stream: text(headers, "content-type").as_deref() == Some("text/event-stream"),
             encoded: false,
-            notice: RunnerNotice {
+            signals: RunnerSignals {
                 limit: text(headers, names::LIMIT)
                     .and_then(|value| value.parse().ok())
                     .and_then(RunnerLimit::new),
-                leaves: headers.contains_key(names::LEAVING),
-                pause: text(headers, names::PAUSE)
+                draining: headers.contains_key(names::LEAVING),
+                requested_pause: text(headers, names::PAUSE)
                     .and_then(|value| value.parse().ok())
                     .map(Duration::from_millis),
             },
         }
     }
 
-    fn own_headers(&self, request_id: Option<&str>) -> HeaderMap {
+    fn own_answer_headers(&self, request_id: Option<&str>) -> HeaderMap {
         let mut headers = HeaderMap::new();
         if let Some(request_id) = request_id {
             set(&mut headers, names::REQUEST_ID, request_id);
@@ -246,21 +246,21 @@
             let configuration: Configuration = decode(value).map_err(error)?;
             return Ok(StoredObject::Configuration(Box::new(configuration)));
         }
-        if let Some(zone) = self.evacuation_of_key(key) {
+        if let Some(zone) = self.evacuated_zone_in_key(key) {
             return Ok(StoredObject::Evacuation(zone.into()));
         }
-        if self.runner_of_key(key).is_some() {
+        if self.runner_name_in_key(key).is_some() {
             let runner: Runner = decode(value).map_err(error)?;
             return Ok(StoredObject::Runner(Box::new(runner)));
         }
         Ok(StoredObject::Other)
     }
 
-    fn runner_of_key<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn runner_name_in_key<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(names::RUNNER_PREFIX)
     }
 
-    fn evacuation_of_key<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn evacuated_zone_in_key<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(names::EVACUATION_PREFIX)
     }
 
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -10,7 +10,8 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{
-    EngineSpec, HeldModel, Order, Report, Runner, RunnerState, Service, WeightCopies, incarnation,
+    EngineSpec, LoadedModel, Order, Report, Runner, RunnerState, Service, WeightCopies,
+    incarnation_id,
 };
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -57,8 +58,8 @@
     LongEvents(usize),
 }
 
-fn held(model: &&str) -> HeldModel {
-    HeldModel {
+fn held(model: &&str) -> LoadedModel {
+    LoadedModel {
         model: (*model).into(),
         version: 1,
         adapters: Vec::new(),
@@ -131,7 +132,7 @@
         models: &[&str],
     ) -> Self {
         let record = Runner {
-            id: incarnation(&id.into(), Some(1)),
+            id: incarnation_id(&id.into(), Some(1)),
             name: id.into(),
             born: Some(1),
             service: service.name.clone(),
@@ -234,7 +235,7 @@
         let address = {
             let mut state = self.lock();
             let born = state.record.born.map(|born| born + 1000);
-            state.record.id = incarnation(&state.record.name, born);
+            state.record.id = incarnation_id(&state.record.name, born);
             state.record.born = born;
             state.record.heartbeat = 0;
             state.record.models = models.iter().map(held).collect();
--- a/crates/standin/src/runner/orders.rs
+++ b/crates/standin/src/runner/orders.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_catalog::{HeldModel, Order, OrderAction};
+use barleyspar_catalog::{LoadedModel, Order, OrderAction};
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use tokio::time::{Instant, sleep};
@@ -95,7 +95,7 @@
             match action {
                 OrderAction::LoadModel { model } => {
                     state.busy = false;
-                    state.record.models.push(HeldModel {
+                    state.record.models.push(LoadedModel {
                         model,
                         version: 1,
                         adapters: Vec::new(),
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{
-    Backend, Bounds, ClientLimits, ColdBounds, Configuration, Credential, EngineSpec, HeldModel,
+    Backend, Bounds, ClientLimits, ColdBounds, Configuration, Credential, EngineSpec, LoadedModel,
     MachineLimits, ModelSpec, NodeSettings, QuotaBounds, RequestKind, Route, Runner, RunnerState,
-    Service, Tenant, WeightCopies, incarnation,
+    Service, Tenant, WeightCopies, incarnation_id,
 };
 use barleyspar_gateway::{ByteStream, Gateway, Placing, TaskGroup};
 use barleyspar_loading::Switches;
@@ -137,14 +137,14 @@
         for number in 0..count {
             let chosen = |step: usize| models[(number * 7 + step) % models.len()].clone();
             let name: Arc<str> = format!("i-{number:010x}").into();
-            let held = (0..2).map(|step| HeldModel {
+            let held = (0..2).map(|step| LoadedModel {
                 model: chosen(step),
                 version: 1,
                 adapters: Vec::new(),
             });
             let copies: Vec<Arc<str>> = (0..4).map(chosen).collect();
             let record = Runner {
-                id: incarnation(&name, Some(1_774_062_070_535)),
+                id: incarnation_id(&name, Some(1_774_062_070_535)),
                 name,
                 born: Some(1_774_062_070_535),
                 service: service.name.clone(),
@@ -378,7 +378,7 @@
         },
         bounds: Bounds {
             grace_period: Duration::from_secs(8),
-            change_in_force: Duration::from_secs(2),
+            configuration_apply_time: Duration::from_secs(2),
             drain_timeout: Duration::from_secs(2),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
@@ -387,13 +387,13 @@
             fencing_enforced: true,
             load_window: Duration::from_secs(5),
             load_overage: 1.1,
-            revocation: None,
+            revocation_time: None,
             quota: QuotaBounds {
                 window: Duration::from_secs(8),
                 overage: 0.1,
                 tolerance: 1000.0,
             },
-            evacuation: Some(Duration::from_secs(2)),
+            evacuation_time: Some(Duration::from_secs(2)),
             cold: ColdBounds {
                 overage: 1.5,
                 tolerance: 5.0,
--- a/crates/standin/tests/callers.rs
+++ b/crates/standin/tests/callers.rs
@@ -42,7 +42,8 @@
 }
 
 async fn start(world: &mut World, number: u8) {
-    let strict = |bounds: &mut barleyspar_catalog::Bounds| bounds.revocation = Some(REVOCATION);
+    let strict =
+        |bounds: &mut barleyspar_catalog::Bounds| bounds.revocation_time = Some(REVOCATION);
     world.start_gateway_with(number, strict).await;
 }
 
--- a/crates/standin/tests/evacuation.rs
+++ b/crates/standin/tests/evacuation.rs
@@ -108,9 +108,9 @@
     world.start_runner("near-1", "plain", &[]);
     world.start_runner_in("far", "far-1", "plain", &[]);
     let long = |bounds: &mut Bounds| {
-        bounds.change_in_force = 20 * SECOND;
+        bounds.configuration_apply_time = 20 * SECOND;
         bounds.drain_timeout = 20 * SECOND;
-        bounds.evacuation = Some(SECOND);
+        bounds.evacuation_time = Some(SECOND);
     };
     for number in 1..=GATEWAYS {
         world.start_gateway_with(number, long).await;
