--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -15,7 +15,7 @@
 use crate::peers::PeerHandle;
 use crate::placement::{LEADER_KEY, LEASE_ERA_KEY, LeaderRecord, PlacementHandle, decode_era};
 use crate::register::MEMBER_PREFIX;
-use crate::restored::{Decision, Restored};
+use crate::restore_tracker::{Decision, RestoreTracker};
 use crate::tasks::sleep_until_some;
 
 /// Fraction of its bound within which an evacuation takes effect. The rest covers
@@ -38,18 +38,18 @@
     /// The leader of the placement; `None` while there is none.
     pub leader: watch::Sender<Option<LeaderRecord>>,
     /// The store's era in which the placement lease was last acquired.
-    pub settled_era: watch::Sender<u32>,
+    pub lease_era: watch::Sender<u32>,
     /// As of when the routes in force were known to be the operators' latest.
-    pub confirmed: watch::Sender<Option<Instant>>,
+    pub confirmed_at: watch::Sender<Option<Instant>>,
     /// Writes the configuration in force to the store if the store shows an older one.
-    pub keeper: ConfigurationKeeper,
+    pub configuration_keeper: ConfigurationKeeper,
     /// The store's item from which the configuration in force was read.
-    pub in_force: Option<Item>,
+    pub configuration_item: Option<Item>,
     /// The revision of the configuration kept under [`KEPT_CONFIGURATION_KEY`]; `None`
     /// if there is none.
-    pub kept: Option<Revision>,
+    pub kept_revision: Option<Revision>,
     /// Whether the latest configuration could not be read.
-    pub unreadable: bool,
+    pub configuration_unreadable: bool,
     /// Limits how many log lines on new runners are written.
     pub arrivals: Arrivals,
     /// Names that runners' entries share, to save memory.
@@ -57,17 +57,17 @@
     /// The runners in the store, by the names under which they are stored.
     pub runners: HashMap<Arc<str>, Arc<Runner>>,
     /// Decides what to use of a store that was restored from a backup.
-    pub restored: Restored,
+    pub restore_tracker: RestoreTracker,
     /// Zones under evacuation, with the time until which the runners of each still
     /// serve models that are loaded nowhere else.
-    pub evacuated: BTreeMap<Arc<str>, Instant>,
+    pub evacuated_zones: BTreeMap<Arc<str>, Instant>,
 }
 
 impl Discovery {
     /// Applies changes until the feed ends.
     pub async fn run(mut self, mut changes: mpsc::Receiver<Change>) {
         loop {
-            let decision_at = self.restored.next_decision_at();
+            let decision_at = self.restore_tracker.next_decision_at();
             tokio::select! {
                 change = changes.recv() => match change {
                     Some(change) => self.apply_change(change),
@@ -89,7 +89,7 @@
 
     /// Applies what was decided since the store was restored from a backup.
     fn apply_decisions(&mut self) {
-        for decision in self.restored.take_due() {
+        for decision in self.restore_tracker.take_due() {
             match decision {
                 Decision::RunnerGone(name) => self.drop_runner(&name),
                 Decision::EvacuationEnded(zone) => self.update_evacuated(|zones| {
@@ -105,15 +105,15 @@
     /// Records that no change before `at` is missing. That confirms no configuration if
     /// this node could not read the latest one.
     fn confirm_routes(&self, at: Instant) {
-        if !self.unreadable {
-            self.confirmed.send_replace(Some(at));
+        if !self.configuration_unreadable {
+            self.confirmed_at.send_replace(Some(at));
         }
     }
 
     fn apply_full_read(&mut self, items: Vec<Item>, era: u32) {
-        let is_restored = self.restored.start_era(era);
-        self.keeper.reset_shown();
-        self.kept = None;
+        let is_restored = self.restore_tracker.start_era(era);
+        self.configuration_keeper.reset_shown();
+        self.kept_revision = None;
         let members: Vec<&str> = items
             .iter()
             .filter_map(|item| item.key.strip_prefix(MEMBER_PREFIX))
@@ -123,7 +123,7 @@
             self.leader.send_replace(None);
         }
         if !items.iter().any(|item| item.key == LEASE_ERA_KEY) {
-            self.settled_era.send_replace(0);
+            self.lease_era.send_replace(0);
         }
         let dialect = self.context.dialect.clone();
         if is_restored {
@@ -133,8 +133,10 @@
             .iter()
             .filter_map(|item| dialect.evacuated_zone_in_key(&item.key))
             .collect();
-        let mut zones = self.evacuated.clone();
-        zones.retain(|zone, _| evacuated.contains(&&**zone) || self.restored.is_zone_missing(zone));
+        let mut zones = self.evacuated_zones.clone();
+        zones.retain(|zone, _| {
+            evacuated.contains(&&**zone) || self.restore_tracker.is_zone_missing(zone)
+        });
         self.update_evacuated(|known| *known = zones);
         // Evacuations and the configuration first: no runner may be used before they
         // are applied.
@@ -149,7 +151,7 @@
             .filter_map(|item| dialect.runner_name_in_key(&item.key))
             .collect();
         self.runners.retain(|name, _| {
-            runner_names.contains(&**name) || self.restored.is_runner_missing(name)
+            runner_names.contains(&**name) || self.restore_tracker.is_runner_missing(name)
         });
         tracing::info!(
             event = "store_known",
@@ -184,17 +186,18 @@
         let is_runner_missing = |name: &&Arc<str>| !runners.contains(&***name);
         let is_zone_missing = |zone: &&Arc<str>| !zones.contains(&***zone);
         let missing_runners = self.runners.keys().filter(is_runner_missing).cloned();
-        let missing_zones = self.evacuated.keys().filter(is_zone_missing).cloned();
-        self.restored.record_missing(missing_runners, missing_zones);
+        let missing_zones = self.evacuated_zones.keys().filter(is_zone_missing).cloned();
+        self.restore_tracker
+            .record_missing(missing_runners, missing_zones);
     }
 
     fn apply_written(&mut self, item: &Item, in_full_read: bool) {
         if item.key == LEASE_ERA_KEY {
-            self.settled_era.send_replace(decode_era(&item.value));
+            self.lease_era.send_replace(decode_era(&item.value));
             return;
         }
         if item.key == KEPT_CONFIGURATION_KEY {
-            self.kept = Some(item.revision);
+            self.kept_revision = Some(item.revision);
             if let Some(kept) = kept_configuration::decode(&item.value) {
                 self.apply_written(&kept, in_full_read);
             }
@@ -218,17 +221,18 @@
         }
         match self.context.dialect.read_object(&item.key, &item.value) {
             Ok(StoredObject::Configuration(configuration)) => {
-                self.unreadable = false;
-                self.keeper.record_shown(configuration.version);
+                self.configuration_unreadable = false;
+                self.configuration_keeper
+                    .record_shown(configuration.version);
                 if self.configure(*configuration) {
-                    self.in_force = Some(item.clone());
+                    self.configuration_item = Some(item.clone());
                 }
             }
             Ok(StoredObject::Runner(runner)) => {
                 self.apply_runner(*runner, item.revision, in_full_read)
             }
             Ok(StoredObject::Evacuation(zone)) => {
-                self.restored.zone_written(&zone);
+                self.restore_tracker.zone_written(&zone);
                 let deadline = self.evacuation_deadline();
                 self.update_evacuated(|zones| {
                     zones.entry(zone).or_insert(deadline);
@@ -242,7 +246,7 @@
                     // The entry is not one of this system, or it names no usable
                     // runner.
                     Some(name) => self.drop_runner(name),
-                    None => self.unreadable = true,
+                    None => self.configuration_unreadable = true,
                 }
             }
         }
@@ -259,7 +263,7 @@
                 zones.remove(zone);
             });
         } else if let Some(name) = dialect.runner_name_in_key(key) {
-            self.restored.entry_removed(name);
+            self.restore_tracker.entry_removed(name);
             self.drop_runner(name);
         }
     }
@@ -270,7 +274,7 @@
             return;
         };
         tracing::info!(event = "runner_gone", runner = &*known.id);
-        self.restored.record_gone(&known);
+        self.restore_tracker.record_gone(&known);
         self.context.dispatch.remove_runner(known.id.clone());
         self.placement.remove_runner(known.id.clone());
     }
@@ -278,14 +282,16 @@
     /// Changes the zones under evacuation, and notifies the dispatcher and the
     /// placement task if they differ.
     fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeMap<Arc<str>, Instant>)) {
-        let before = self.evacuated.clone();
-        change(&mut self.evacuated);
-        if self.evacuated == before {
+        let before = self.evacuated_zones.clone();
+        change(&mut self.evacuated_zones);
+        if self.evacuated_zones == before {
             return;
         }
-        let zones: BTreeSet<Arc<str>> = self.evacuated.keys().cloned().collect();
+        let zones: BTreeSet<Arc<str>> = self.evacuated_zones.keys().cloned().collect();
         tracing::info!(event = "evacuation", before = ?before.keys(), now = ?zones);
-        self.context.dispatch.set_evacuated(self.evacuated.clone());
+        self.context
+            .dispatch
+            .set_evacuated(self.evacuated_zones.clone());
         self.placement.set_evacuated(zones);
     }
 
@@ -296,7 +302,7 @@
     fn evacuation_deadline(&self) -> Instant {
         let now = Instant::now();
         let bound = self.context.settings.bounds.evacuation_time;
-        let complete_at = *self.confirmed.borrow();
+        let complete_at = *self.confirmed_at.borrow();
         complete_at.zip(bound).map_or(now, |(complete_at, bound)| {
             complete_at + bound.mul_f64(EVACUATION_FRACTION)
         })
@@ -304,8 +310,9 @@
 
     /// Writes the configuration in force to the store if the store shows an older one.
     fn keep_configuration(&self) {
-        if let (Some(version), Some(item)) = (self.version_in_force(), &self.in_force) {
-            self.keeper.keep(item.clone(), version, self.kept);
+        if let (Some(version), Some(item)) = (self.version_in_force(), &self.configuration_item) {
+            self.configuration_keeper
+                .keep(item.clone(), version, self.kept_revision);
         }
     }
 
@@ -343,7 +350,7 @@
     }
 
     fn apply_runner(&mut self, mut runner: Runner, revision: Revision, in_full_read: bool) {
-        if !self.restored.accepts(&runner, revision) {
+        if !self.restore_tracker.accepts(&runner, revision) {
             let runner = &*runner.id;
             tracing::info!(event = "runner_doubted", runner, era = revision.era);
             return;
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -12,8 +12,8 @@
 use crate::feed::copy::FeedCopy;
 use crate::feed::parent_stream::ParentStream;
 use crate::feed::state::FeedState;
-use crate::feed::tree::{self, Myself, Parent};
-use crate::peers::{Heard, longest_silence};
+use crate::feed::tree::{self, OwnNode, Parent};
+use crate::peers::{SeenPeer, peer_timeout};
 
 /// Time for which a parent is not followed again after its copy became stale.
 const STALE_AVOIDED_FOR: Duration = Duration::from_secs(5);
@@ -70,7 +70,7 @@
 pub struct Follower<'a> {
     copy: &'a FeedCopy,
     context: &'a Context,
-    seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
     state: watch::Receiver<FeedState>,
     /// Set to true while this node is to watch the store on behalf of the other nodes.
     is_watcher: watch::Sender<bool>,
@@ -87,7 +87,7 @@
     pub fn new(
         copy: &'a FeedCopy,
         context: &'a Context,
-        seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
+        seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
         is_watcher: watch::Sender<bool>,
         unreachable: watch::Receiver<bool>,
     ) -> Self {
@@ -124,8 +124,8 @@
         let seen_peers = self.seen_peers.borrow();
         self.abandoned
             .retain(|name, _| seen_peers.contains_key(name));
-        let myself = Myself::of(&self.context.settings);
-        let max_silence = longest_silence(self.context.dispatch.nodes());
+        let myself = OwnNode::of(&self.context.settings);
+        let max_silence = peer_timeout(self.context.dispatch.nodes());
         if self.copy.is_stale() && self.copy.peers_first_until().is_none() {
             let unreachable = *self.unreachable.borrow();
             let peer = unreachable
@@ -155,8 +155,8 @@
 
     fn least_recently_tried_peer(
         &self,
-        myself: &Myself,
-        seen_peers: &HashMap<Arc<str>, Heard>,
+        myself: &OwnNode,
+        seen_peers: &HashMap<Arc<str>, SeenPeer>,
         max_silence: Duration,
     ) -> Option<Parent> {
         let is_broken = |peer: &AbandonedPeer| peer.fault == Fault::Broken && peer.is_avoided();
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -31,4 +31,4 @@
 pub use serve::serve;
 pub use state::{Change, FeedState};
 pub use task::FeedTask;
-pub use tree::{Myself, position};
+pub use tree::{OwnNode, count_preceding_peers};
--- a/crates/gateway/src/feed/task.rs
+++ b/crates/gateway/src/feed/task.rs
@@ -15,7 +15,7 @@
 use crate::feed::staleness::report_staleness;
 use crate::feed::state::{Change, FeedState};
 use crate::feed::store_reader::StoreReader;
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 use crate::store::Store;
 
 /// Time limit for reading the members' entries at the start.
@@ -27,7 +27,7 @@
 pub struct FeedTask {
     context: Context,
     store: Store,
-    seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
     copy: FeedCopy,
 }
 
@@ -38,7 +38,7 @@
     pub fn new(
         context: Context,
         store: Store,
-        seen_peers: watch::Receiver<HashMap<Arc<str>, Heard>>,
+        seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
         state: watch::Sender<FeedState>,
         changes: mpsc::Sender<Change>,
     ) -> Self {
--- a/crates/gateway/src/feed/tree.rs
+++ b/crates/gateway/src/feed/tree.rs
@@ -14,7 +14,7 @@
 use barleyspar_catalog::NodeSettings;
 use tokio::time::Instant;
 
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 
 /// Maximum number of followers of a node in its own zone; as many first nodes of other
 /// zones may follow it too. Sending twelve frames per change takes a percent of the
@@ -32,7 +32,7 @@
 
 /// This node's attributes that determine its place in the order.
 #[derive(Debug, Clone)]
-pub struct Myself {
+pub struct OwnNode {
     /// This node's name.
     pub name: Arc<str>,
     /// Speed of this node's link in megabits per second.
@@ -41,7 +41,7 @@
     pub zone: Arc<str>,
 }
 
-impl Myself {
+impl OwnNode {
     /// The attributes from this node's settings.
     pub fn of(settings: &NodeSettings) -> Self {
         Self {
@@ -65,15 +65,15 @@
 /// Returns the peers seen within `max_silence` that precede this node in the order,
 /// without those that `is_avoided` rejects.
 fn peers_before<'a>(
-    myself: &Myself,
-    peers: &'a HashMap<Arc<str>, Heard>,
+    myself: &OwnNode,
+    peers: &'a HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_avoided: impl Fn(&str) -> bool,
-) -> Vec<(OrderKey, &'a Arc<str>, &'a Heard)> {
+) -> Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)> {
     let own = order_key(&myself.name, myself.capacity);
     peers
         .iter()
-        .filter(|(name, peer)| peer.at.elapsed() < max_silence && !is_avoided(name))
+        .filter(|(name, peer)| peer.last_seen.elapsed() < max_silence && !is_avoided(name))
         .map(|(name, peer)| (order_key(name, peer.capacity), name, peer))
         .filter(|(peer, _, _)| *peer < own)
         .collect()
@@ -81,15 +81,19 @@
 
 /// Returns how many of the peers seen within `max_silence` precede this node. Machines
 /// with a faster link, which usually have more of the other resources too, come first.
-pub fn position(myself: &Myself, peers: &HashMap<Arc<str>, Heard>, max_silence: Duration) -> usize {
+pub fn count_preceding_peers(
+    myself: &OwnNode,
+    peers: &HashMap<Arc<str>, SeenPeer>,
+    max_silence: Duration,
+) -> usize {
     peers_before(myself, peers, max_silence, |_| false).len()
 }
 
 /// Returns the peer to follow, or `None` if this node is to watch the store. Ignores
 /// peers not seen for `max_silence` and those that `is_avoided` rejects.
 pub fn parent(
-    myself: &Myself,
-    peers: &HashMap<Arc<str>, Heard>,
+    myself: &OwnNode,
+    peers: &HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_avoided: impl Fn(&str) -> bool,
 ) -> Option<Parent> {
@@ -112,9 +116,9 @@
 
 /// Returns the first node of each zone among `peers`.
 fn first_of_each_zone<'a>(
-    peers: Vec<(OrderKey, &'a Arc<str>, &'a Heard)>,
-) -> Vec<(OrderKey, &'a Arc<str>, &'a Heard)> {
-    let mut firsts: HashMap<&str, (OrderKey, &Arc<str>, &Heard)> = HashMap::new();
+    peers: Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)>,
+) -> Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)> {
+    let mut firsts: HashMap<&str, (OrderKey, &Arc<str>, &SeenPeer)> = HashMap::new();
     for peer in peers {
         let first = firsts.entry(&peer.2.zone).or_insert(peer);
         if peer.0 < first.0 {
@@ -130,15 +134,15 @@
 /// node uses an order of its own, so that they do not all try the same peer, which
 /// accepts at most 64 followers.
 pub fn least_recently_tried_peer(
-    myself: &Myself,
-    peers: &HashMap<Arc<str>, Heard>,
+    myself: &OwnNode,
+    peers: &HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_usable: impl Fn(&str) -> bool,
     abandoned_at: impl Fn(&str) -> Option<Instant>,
 ) -> Option<Parent> {
     peers
         .iter()
-        .filter(|(name, peer)| peer.at.elapsed() < max_silence && is_usable(name))
+        .filter(|(name, peer)| peer.last_seen.elapsed() < max_silence && is_usable(name))
         .min_by_key(|(name, _)| {
             (
                 abandoned_at(name),
--- a/crates/gateway/src/feed/tree_tests.rs
+++ b/crates/gateway/src/feed/tree_tests.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use super::tree::{FANOUT, Myself, least_recently_tried_peer, parent};
-use crate::peers::Heard;
+use super::tree::{FANOUT, OwnNode, least_recently_tried_peer, parent};
+use crate::peers::SeenPeer;
 
 const MAX_SILENCE: Duration = Duration::from_secs(2);
 
@@ -25,13 +25,13 @@
     if number < 5 { 200 } else { 10 }
 }
 
-fn seen_peers(nodes: u8, except: u8) -> HashMap<Arc<str>, Heard> {
+fn seen_peers(nodes: u8, except: u8) -> HashMap<Arc<str>, SeenPeer> {
     (0..nodes)
         .filter(|number| *number != except)
         .map(|number| {
-            let peer = Heard {
-                told: true,
-                at: Instant::now(),
+            let peer = SeenPeer {
+                has_sent_message: true,
+                last_seen: Instant::now(),
                 address: SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, number)), 1),
                 capacity: capacity(number),
                 zone: zone(number),
@@ -41,8 +41,8 @@
         .collect()
 }
 
-fn myself(number: u8) -> Myself {
-    Myself {
+fn myself(number: u8) -> OwnNode {
+    OwnNode {
         name: name(number),
         capacity: capacity(number),
         zone: zone(number),
@@ -105,7 +105,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_unresponsive_peer_is_no_parent() {
     let peers = seen_peers(2, 1);
-    let myself = Myself {
+    let myself = OwnNode {
         name: name(1),
         capacity: 1,
         zone: zone(1),
--- a/crates/gateway/src/kept_configuration.rs
+++ b/crates/gateway/src/kept_configuration.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use crate::context::Context;
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 use crate::store::Store;
 use crate::turns::pause_until_turn;
 
@@ -29,21 +29,22 @@
     /// The client of the store that the configuration is written to.
     pub store: Store,
     /// When each peer was last seen.
-    pub heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    pub seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
     /// The newest configuration version that the store shows, under the operators' key
     /// or [`KEPT_CONFIGURATION_KEY`]; 0 if none.
-    pub shown: watch::Sender<u64>,
+    pub shown_version: watch::Sender<u64>,
 }
 
 impl ConfigurationKeeper {
     /// Forgets the version shown, before the full state is read anew.
     pub fn reset_shown(&self) {
-        self.shown.send_replace(0);
+        self.shown_version.send_replace(0);
     }
 
     /// Records that the store shows a configuration with this version.
     pub fn record_shown(&self, version: u64) {
-        self.shown.send_modify(|shown| *shown = version.max(*shown));
+        self.shown_version
+            .send_modify(|shown| *shown = version.max(*shown));
     }
 
     /// Writes `item`, the configuration `version` that is in force, under
@@ -51,12 +52,12 @@
     /// this node's staggered delay. `kept` is the revision of the present item under
     /// that key.
     pub fn keep(&self, item: Item, version: u64, kept: Option<Revision>) {
-        if *self.shown.borrow() >= version {
+        if *self.shown_version.borrow() >= version {
             return;
         }
         let store = self.store.clone();
-        let shown = self.shown.subscribe();
-        let delay = pause_until_turn(&self.context, &self.heard.borrow());
+        let shown = self.shown_version.subscribe();
+        let delay = pause_until_turn(&self.context, &self.seen_peers.borrow());
         crate::tasks::spawn(async move {
             sleep(delay).await;
             let in_store = *shown.borrow();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -33,7 +33,7 @@
 mod register;
 mod relay;
 mod request;
-mod restored;
+mod restore_tracker;
 mod store;
 mod stream;
 mod tasks;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -30,7 +30,7 @@
 use crate::network::{Listener, Network, Sockets};
 use crate::placement::{self, LeaseKeeper, PlacementTask};
 use crate::quota::QuotaTask;
-use crate::restored::Restored;
+use crate::restore_tracker::RestoreTracker;
 use crate::store::Store;
 use crate::{crashes, dispatch, feed, peers, quota, rate_permits, readiness, register, request};
 
@@ -253,25 +253,25 @@
         placement: placement_handle.clone(),
         peers: peer_handle.clone(),
         leader: leader_sender,
-        settled_era: settled_era_sender,
-        confirmed: confirmed_sender,
-        keeper: ConfigurationKeeper {
+        lease_era: settled_era_sender,
+        confirmed_at: confirmed_sender,
+        configuration_keeper: ConfigurationKeeper {
             context: context.clone(),
             store: store.clone(),
-            heard: peer_handle.heard(),
-            shown: watch::Sender::new(0),
+            seen_peers: peer_handle.seen_peers(),
+            shown_version: watch::Sender::new(0),
         },
-        in_force: None,
-        kept: None,
-        unreadable: false,
+        configuration_item: None,
+        kept_revision: None,
+        configuration_unreadable: false,
         names: Names::default(),
         arrivals: Arrivals::default(),
         runners: HashMap::new(),
-        restored: Restored::default(),
-        evacuated: BTreeMap::new(),
+        restore_tracker: RestoreTracker::default(),
+        evacuated_zones: BTreeMap::new(),
     };
-    let heard = peer_handle.heard();
-    let feed_peers = peer_handle.heard();
+    let heard = peer_handle.seen_peers();
+    let feed_peers = peer_handle.seen_peers();
     let pace = LoadRateLimits {
         window: settings.bounds.load_window,
         overage: settings.bounds.load_overage,
@@ -298,15 +298,15 @@
         context: context.clone(),
         store: store.clone(),
         leader,
-        settled_era,
-        heard,
-        held,
+        lease_era: settled_era,
+        seen_peers: heard,
+        lease: held,
     };
     crate::tasks::spawn(discovery.run(changes));
     let (feed_state, feed_seen) = watch::channel(FeedState::default());
     let feed_task = FeedTask::new(
         context.clone(),
-        store.separate(),
+        store.with_own_connections(),
         feed_peers,
         feed_state,
         changes_sender,
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -23,7 +23,7 @@
 pub use members::MemberRecord;
 pub use relay::LoadSum;
 pub use task::PeerTask;
-pub use times::{demand_valid_for, longest_silence};
+pub use times::{demand_valid_for, peer_timeout};
 
 enum Command {
     MemberWritten(Arc<str>, MemberRecord),
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct PeerHandle {
     commands: mpsc::UnboundedSender<Command>,
-    heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    heard: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
 }
 
 impl PeerHandle {
@@ -65,7 +65,7 @@
 
     /// Returns the list of peers with the time at which each was last seen, and its
     /// changes.
-    pub fn heard(&self) -> watch::Receiver<HashMap<Arc<str>, Heard>> {
+    pub fn seen_peers(&self) -> watch::Receiver<HashMap<Arc<str>, SeenPeer>> {
         self.heard.clone()
     }
 
@@ -77,7 +77,7 @@
 
     /// Sends `message` to the node `name` once, without acknowledgement; does nothing
     /// if it is no member.
-    pub fn tell(&self, name: Arc<str>, message: Message) {
+    pub fn send_message(&self, name: Arc<str>, message: Message) {
         self.send(Command::Send(name, Box::new(message)));
     }
 
@@ -89,13 +89,13 @@
 
 /// When and how a peer was last seen, and how to reach it.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct SeenPeer {
     /// When the last message from the peer arrived at this node or at a relay; without
     /// one, when its entry in the store was first read.
-    pub at: Instant,
+    pub last_seen: Instant,
     /// Whether a message from the peer was received. Otherwise only its entry in the
     /// store is known, which stays there for seconds after the peer's end.
-    pub told: bool,
+    pub has_sent_message: bool,
     /// The address on which the peer receives messages and accepts followers.
     pub address: SocketAddr,
     /// Speed of the peer's link in megabits per second.
@@ -117,5 +117,5 @@
 /// The receiving end of a [`PeerHandle`].
 pub struct PeerInbox(
     mpsc::UnboundedReceiver<Command>,
-    watch::Sender<HashMap<Arc<str>, Heard>>,
+    watch::Sender<HashMap<Arc<str>, SeenPeer>>,
 );
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -17,7 +17,7 @@
 use crate::peers::times::{
     MEMBER_TIMEOUT, MIN_INTERVAL, URGENT_INTERVAL, VALID_INTERVALS, demand_interval,
 };
-use crate::peers::{Command, Heard, MemberRecord, PeerInbox};
+use crate::peers::{Command, MemberRecord, PeerInbox, SeenPeer};
 use crate::placement::{LeaderRecord, PlacementHandle};
 
 /// Delay before other nodes are notified of a quarantined request, so that one message
@@ -60,7 +60,7 @@
     placement: PlacementHandle,
     urgent: Arc<Notify>,
     commands: mpsc::UnboundedReceiver<Command>,
-    heard: watch::Sender<HashMap<Arc<str>, Heard>>,
+    heard: watch::Sender<HashMap<Arc<str>, SeenPeer>>,
 }
 
 impl PeerTask {
@@ -262,9 +262,10 @@
                     continue;
                 };
                 let known = heard.get(&name);
-                let status = Heard {
-                    at: known.map_or(at, |known| known.at.max(at)),
-                    told: by_message || known.is_some_and(|known| known.told),
+                let status = SeenPeer {
+                    last_seen: known.map_or(at, |known| known.last_seen.max(at)),
+                    has_sent_message: by_message
+                        || known.is_some_and(|known| known.has_sent_message),
                     address: record.address,
                     capacity: record.capacity,
                     zone: record.zone.clone(),
@@ -302,7 +303,7 @@
     fn refresh_members(&mut self) {
         self.members.drop_unresponsive();
         self.heard
-            .send_modify(|heard| heard.retain(|_, peer| peer.at.elapsed() < MEMBER_TIMEOUT));
+            .send_modify(|heard| heard.retain(|_, peer| peer.last_seen.elapsed() < MEMBER_TIMEOUT));
         if self.published_changes == Some(self.members.changes()) {
             return;
         }
--- a/crates/gateway/src/peers/times.rs
+++ b/crates/gateway/src/peers/times.rs
@@ -44,7 +44,7 @@
 
 /// Returns the time without a message after which a node may be considered gone, if
 /// there are `nodes` nodes.
-pub fn longest_silence(nodes: u32) -> Duration {
+pub fn peer_timeout(nodes: u32) -> Duration {
     if nodes as usize > MESH_NODES {
         RELAYED_TIMEOUT
     } else {
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -11,7 +11,7 @@
 
 use crate::context::Context;
 use crate::lifecycle::Stage;
-use crate::peers::{Heard, longest_silence};
+use crate::peers::{SeenPeer, peer_timeout};
 use crate::placement::{LEADER_KEY, LEASE_ERA_KEY, LeaderRecord};
 use crate::store::Store;
 use crate::turns::pause_until_turn;
@@ -57,18 +57,18 @@
     pub leader: watch::Receiver<Option<LeaderRecord>>,
     /// The store's era in which the lease was last acquired, according to this node's
     /// copy of the store.
-    pub settled_era: watch::Receiver<u32>,
+    pub lease_era: watch::Receiver<u32>,
     /// When each peer was last seen.
-    pub heard: watch::Receiver<HashMap<Arc<str>, Heard>>,
+    pub seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
     /// Set to the lease while this node holds it and may use it; `None` otherwise.
-    pub held: watch::Sender<Option<Lease>>,
+    pub lease: watch::Sender<Option<Lease>>,
 }
 
 impl LeaseKeeper {
     /// Runs until the process is asked to stop, then releases the lease.
     pub async fn run(mut self) {
         let lifecycle = self.context.lifecycle.clone();
-        let held = self.held.clone();
+        let held = self.lease.clone();
         let store = self.store.clone();
         tokio::select! {
             () = lifecycle.reached(Stage::Draining) => {}
@@ -85,7 +85,7 @@
         loop {
             let predecessor = self.wait_for_vacancy().await;
             let vacant_since = Instant::now();
-            let delay = pause_until_turn(&self.context, &self.heard.borrow());
+            let delay = pause_until_turn(&self.context, &self.seen_peers.borrow());
             sleep(delay).await;
             let leader = self.leader.borrow().as_ref().map(|leader| leader.revision);
             if leader != predecessor || self.context.routes.borrow().is_none() {
@@ -125,8 +125,12 @@
         if leader.node == self.context.settings.name {
             return true;
         }
-        let max_silence = longest_silence(self.context.dispatch.nodes());
-        let last_seen = self.heard.borrow().get(&leader.node).map(|peer| peer.at);
+        let max_silence = peer_timeout(self.context.dispatch.nodes());
+        let last_seen = self
+            .seen_peers
+            .borrow()
+            .get(&leader.node)
+            .map(|peer| peer.last_seen);
         let since = last_seen
             .unwrap_or(leader.known_since)
             .max(leader.known_since);
@@ -221,7 +225,7 @@
         let earliest = Instant::now() - bounds.lease_duration.mul_f64(VACANCY_FRACTION);
         let vacant_since = vacant_since.max(earliest);
         let era = *self.store.era().borrow();
-        if *self.settled_era.borrow() == era.number {
+        if *self.lease_era.borrow() == era.number {
             return vacant_since;
         }
         // If a store that was restored from a backup has lost a lease, its holder had
@@ -246,7 +250,7 @@
     /// era of the store, stays unused until a renewal confirms it.
     async fn hold(&self, mut lease: Lease) {
         tracing::info!(event = "lease_taken", token = lease.token);
-        self.held.send_replace(Some(lease));
+        self.lease.send_replace(Some(lease));
         let mut era = self.store.era();
         let acquired_in = era.borrow_and_update().number;
         let mut leader_watch = LeaderWatch::new(self.leader.clone(), lease.token);
@@ -254,7 +258,7 @@
             tokio::select! {
                 () = leader_watch.until_replaced() => break,
                 Ok(()) = era.changed() => {
-                    self.held.send_replace(None);
+                    self.lease.send_replace(None);
                 }
                 () = sleep(self.renewal_pause()) => {}
             }
@@ -266,21 +270,21 @@
                     let current_era = era.borrow().number;
                     let holds = current_era == acquired_in
                         || self.is_shown_as_leader(current_era, lease.token);
-                    self.held.send_replace(holds.then_some(lease));
+                    self.lease.send_replace(holds.then_some(lease));
                 }
                 Err(StoreError::LeaseGone) => break,
                 _ => {}
             }
         }
         tracing::info!(event = "lease_lost", token = lease.token);
-        self.held.send_replace(None);
+        self.lease.send_replace(None);
     }
 
     /// Returns the time until the next renewal; short while it is not known whether the
     /// lease lasts.
     fn renewal_pause(&self) -> Duration {
         let pause = self.time_to_live() / RENEWALS;
-        if self.held.borrow().is_some() {
+        if self.lease.borrow().is_some() {
             pause
         } else {
             pause.min(CHECK_PERIOD)
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -10,7 +10,7 @@
 use barleyspar_domain::rendezvous_weight;
 use tokio::time::Instant;
 
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 
 /// Interval at which the list of responsive nodes is refreshed. An owner is needed for
 /// each request, and the list changes only with messages that arrive 0.25 s apart.
@@ -63,20 +63,20 @@
     /// responsive or not.
     pub fn refresh(
         &mut self,
-        heard: &HashMap<Arc<str>, Heard>,
+        heard: &HashMap<Arc<str>, SeenPeer>,
         node_count: usize,
         silence: Duration,
         now: Instant,
     ) {
         self.refreshed_at = Some(now);
         self.node_count = node_count;
-        let is_responsive = |peer: &Heard| {
-            let timeout = if peer.told {
+        let is_responsive = |peer: &SeenPeer| {
+            let timeout = if peer.has_sent_message {
                 silence
             } else {
                 UNSEEN_NODE_TIMEOUT
             };
-            now.saturating_duration_since(peer.at) < timeout
+            now.saturating_duration_since(peer.last_seen) < timeout
         };
         let mut nodes: Vec<(Arc<str>, u32)> = heard
             .iter()
--- a/crates/gateway/src/quota/owners_tests.rs
+++ b/crates/gateway/src/quota/owners_tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::Owners;
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 
 const SILENCE: Duration = Duration::from_millis(1600);
 const CAPACITY: u32 = 10;
@@ -16,12 +16,12 @@
 }
 
 /// Returns the peers of `group` as `node` sees them, with messages received `age` ago.
-fn heard(node: usize, group: &[usize], age: Duration) -> HashMap<Arc<str>, Heard> {
+fn heard(node: usize, group: &[usize], age: Duration) -> HashMap<Arc<str>, SeenPeer> {
     let others = group.iter().filter(|other| **other != node);
     let last_seen = |other: &usize| {
-        let heard = Heard {
-            at: Instant::now() - age,
-            told: true,
+        let heard = SeenPeer {
+            last_seen: Instant::now() - age,
+            has_sent_message: true,
             address: "10.0.0.1:1".parse().expect("it is an address"),
             capacity: if other.is_multiple_of(10) {
                 10 * CAPACITY
@@ -77,7 +77,7 @@
     let tenant: Arc<str> = "tenant".into();
     let mut peers = heard(1, &[0], SILENCE / 2);
     for peer in peers.values_mut() {
-        peer.told = false;
+        peer.has_sent_message = false;
     }
     let mut owners = Owners::of_node(name(1), CAPACITY);
     owners.refresh(&peers, NODES, SILENCE, Instant::now());
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use crate::messages::Message;
-use crate::peers::{PeerHandle, longest_silence};
+use crate::peers::{PeerHandle, peer_timeout};
 use crate::quota::owners::Owners;
 use crate::quota::{Command, QuotaDecision, QuotaInbox};
 
@@ -63,7 +63,7 @@
         let started = context.started.into_std();
         Self {
             owners: Owners::new(&context.settings),
-            owner: QuotaOwner::new(started, longest_silence(nodes)),
+            owner: QuotaOwner::new(started, peer_timeout(nodes)),
             ledger: QuotaLedger::new(context.settings.bounds.quota.window),
             pending: BTreeMap::new(),
             retries: VecDeque::new(),
@@ -149,8 +149,8 @@
         let now = Instant::now();
         if self.owners.is_refresh_due(now) {
             let nodes = self.context.dispatch.nodes();
-            let heard = self.peers.heard();
-            let silence = longest_silence(nodes);
+            let heard = self.peers.seen_peers();
+            let silence = peer_timeout(nodes);
             self.owners
                 .refresh(&heard.borrow(), nodes as usize, silence, now);
         }
@@ -191,7 +191,8 @@
             return self.apply_answer(number, answer);
         }
         self.schedule_retry(number, RETRY_DELAY);
-        self.peers.tell(owner, Message::QuotaRequest(request));
+        self.peers
+            .send_message(owner, Message::QuotaRequest(request));
     }
 
     fn schedule_retry(&mut self, number: u64, after: Duration) {
@@ -266,7 +267,7 @@
         };
         let number = request.number;
         let message = Message::QuotaAnswer { number, answer };
-        self.peers.tell(request.node, message);
+        self.peers.send_message(request.node, message);
     }
 
     fn answer(&mut self, request: &QuotaRequest) -> QuotaAnswer {
--- a/crates/gateway/src/restored.rs
+++ b/crates/gateway/src/restore_tracker.rs
@@ -51,7 +51,7 @@
 
 /// The entries that are uncertain since the store was restored from a backup.
 #[derive(Debug, Default)]
-pub struct Restored {
+pub struct RestoreTracker {
     era: Option<u32>,
     missing_runners: HashSet<Arc<str>>,
     missing_zones: HashSet<Arc<str>>,
@@ -60,7 +60,7 @@
     uncertain: HashMap<Arc<str>, UncertainRunner>,
 }
 
-impl Restored {
+impl RestoreTracker {
     /// Records that the full state was read in `era`. Returns whether the store was
     /// restored from a backup since this node last read it.
     pub fn start_era(&mut self, era: u32) -> bool {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -74,7 +74,7 @@
 
     /// Returns a client of the same store with its own connections, whose
     /// [`Store::last_answer_at`] covers only its own calls. The era is shared.
-    pub fn separate(&self) -> Self {
+    pub fn with_own_connections(&self) -> Self {
         Self {
             idle: Arc::default(),
             last_answer_at: Arc::default(),
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/turns.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use crate::context::Context;
-use crate::feed::{Myself, position};
-use crate::peers::{Heard, longest_silence};
+use crate::feed::{OwnNode, count_preceding_peers};
+use crate::peers::{SeenPeer, peer_timeout};
 
 /// Delay for each node ahead in the order, up to [`FIRST_POSITIONS`] nodes.
 const POSITION_DELAY: Duration = Duration::from_millis(120);
@@ -21,10 +21,10 @@
 
 /// Returns the time that this node waits before it tries. `heard`: the other nodes and when
 /// they were last seen. Nodes with a faster link come first; unresponsive nodes don't count.
-pub fn pause_until_turn(context: &Context, heard: &HashMap<Arc<str>, Heard>) -> Duration {
-    let silence = longest_silence(context.dispatch.nodes());
-    let myself = Myself::of(&context.settings);
-    let nodes_ahead = position(&myself, heard, silence);
+pub fn pause_until_turn(context: &Context, heard: &HashMap<Arc<str>, SeenPeer>) -> Duration {
+    let silence = peer_timeout(context.dispatch.nodes());
+    let myself = OwnNode::of(&context.settings);
+    let nodes_ahead = count_preceding_peers(&myself, heard, silence);
     let beyond_first = nodes_ahead.saturating_sub(FIRST_POSITIONS) as u32;
     POSITION_DELAY * nodes_ahead.min(FIRST_POSITIONS) as u32 + LATER_POSITION_DELAY * beyond_first
 }
