--- a/crates/barleyspar/src/gateway.rs
+++ b/crates/barleyspar/src/gateway.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use barleyspar_dialect::{PlatformDialect, SETTINGS_VARIABLE, read_settings};
-use barleyspar_gateway::Placing;
+use barleyspar_gateway::PlacementOptions;
 use barleyspar_loading::Switches;
 use barleyspar_policy::Program;
 
@@ -20,7 +20,7 @@
     switches: Switches,
 ) -> Result<(), CommandError> {
     let policy = read_policy(policy)?;
-    let placing = Placing { policy, switches };
+    let placing = PlacementOptions { policy, switches };
     let path = std::env::var_os(SETTINGS_VARIABLE)
         .map(PathBuf::from)
         .unwrap_or_default();
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -54,7 +54,7 @@
     let Some(table) = table else {
         return Err(OwnAnswer::refused(
             "no_configuration",
-            retry_after_unconfigured(context.started.elapsed()),
+            retry_after_unconfigured(context.started_at.elapsed()),
         ));
     };
     let route = table
--- a/crates/gateway/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -23,7 +23,7 @@
 impl Arrivals {
     /// Counts a runner that appears at `now`, and returns whether to log it. The first call
     /// after a window logs how many runners of that window got no line.
-    pub fn tells(&mut self, now: Instant) -> bool {
+    pub fn should_log(&mut self, now: Instant) -> bool {
         if self.window_start.is_none_or(|start| now - start >= WINDOW) {
             let suppressed = self.suppressed();
             if suppressed > 0 {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,7 +14,7 @@
 
 use crate::context::{CONNECT_TIMEOUT, Context};
 use crate::dispatch::Permit;
-use crate::notices::{self, Heard};
+use crate::signals::{self, SignalledCall};
 use crate::upstream::{ConnectError, Connection};
 
 /// A caller's request as it is sent to runners, the same for each attempt.
@@ -171,13 +171,13 @@
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
     check_head(&head, &facts, outgoing)?;
-    let runner_answer = Heard {
-        asked: permit.runner(),
+    let runner_answer = SignalledCall {
+        runner: permit.runner(),
         call: "request",
         sent_at,
-        always_limited: permit.runner_is_limited(),
+        limit_expected: permit.runner_is_limited(),
     };
-    notices::hear(context, &runner_answer, head.status, &facts);
+    signals::apply_signals(context, &runner_answer, head.status, &facts);
     Ok((connection, head, facts, body, waited))
 }
 
@@ -238,7 +238,7 @@
         .await;
     connected.map_err(|error| {
         let outcome = match error {
-            ConnectError::NoShareLeft => Outcome::Busy,
+            ConnectError::ConnectionLimitReached => Outcome::Busy,
             ConnectError::Refused(_) | ConnectError::TimedOut => {
                 Outcome::Failed(Failure::Unreachable)
             }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -43,7 +43,7 @@
     /// Settings with which the process was started.
     pub settings: Arc<NodeSettings>,
     /// When the gateway was started.
-    pub started: Instant,
+    pub started_at: Instant,
     /// Routes of the configuration in force; `None` before the first configuration.
     pub routes: watch::Receiver<Option<Arc<RouteTable>>>,
     /// When the routes in force were last confirmed to be the latest of the operators;
@@ -125,21 +125,21 @@
         let slot = match self.pool.checkout(&runner.id, share) {
             Checkout::Idle(connection) => return Ok(*connection),
             Checkout::Open(slot) => slot,
-            Checkout::Full => return Err(ConnectError::NoShareLeft),
+            Checkout::Full => return Err(ConnectError::ConnectionLimitReached),
         };
         Connection::open(&*self.network, runner.address, timeout, Some(slot)).await
     }
 
     /// Opens a new connection to `runner` within `timeout`, even if the pool has an idle
     /// one.
-    pub async fn connect_anew(
+    pub async fn open_connection(
         &self,
         runner: &Runner,
         timeout: Duration,
     ) -> Result<Connection, ConnectError> {
         let share = self.connection_share(&runner.service);
         let slot = self.pool.reserve(&runner.id, share);
-        let slot = slot.ok_or(ConnectError::NoShareLeft)?;
+        let slot = slot.ok_or(ConnectError::ConnectionLimitReached)?;
         Connection::open(&*self.network, runner.address, timeout, Some(slot)).await
     }
 
@@ -154,7 +154,7 @@
             .as_ref()
             .and_then(|table| table.configuration().services.get(service))
             .map_or(u32::MAX, |service| service.connection_limit);
-        let share = f64::from(limit) * USED_FRACTION / f64::from(self.dispatch.nodes());
+        let share = f64::from(limit) * USED_FRACTION / f64::from(self.dispatch.member_count());
         (share as u32).max(1)
     }
 }
--- a/crates/gateway/src/crashes/task.rs
+++ b/crates/gateway/src/crashes/task.rs
@@ -64,7 +64,7 @@
         for broken in self.awaiting_probe.remove(&runner.id).unwrap_or_default() {
             let cause = if crashed { "crash" } else { "connection" };
             let progress = broken.progress.name();
-            self.context.metrics.attempt_broke(progress, cause);
+            self.context.metrics.connection_broke(progress, cause);
             if crashed {
                 self.count_crash(broken, &runner.id);
             }
@@ -121,13 +121,13 @@
 /// answer, or without a connection left in this node's share, the node assumes that the
 /// runner is alive, because links fail more often than runners crash.
 async fn probe(context: Context, runner: Arc<Runner>) {
-    let crashed = match context.connect_anew(&runner, CONNECT_TIMEOUT).await {
+    let crashed = match context.open_connection(&runner, CONNECT_TIMEOUT).await {
         Ok(connection) => {
             // The connection is kept for the next request.
             context.pool.put_back(&runner.id, connection, None);
             false
         }
-        Err(ConnectError::NoShareLeft | ConnectError::TimedOut) => false,
+        Err(ConnectError::ConnectionLimitReached | ConnectError::TimedOut) => false,
         Err(ConnectError::Refused(_)) => true,
     };
     context
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -330,9 +330,11 @@
         }
         let version = configuration.version;
         let configuration = Arc::new(configuration);
-        self.context.dispatch.configure(configuration.clone());
+        self.context
+            .dispatch
+            .set_configuration(configuration.clone());
         self.placement.configure(configuration.clone());
-        self.context.metrics.configuration(version);
+        self.context.metrics.set_configuration_version(version);
         let routes = configuration.routes.len();
         let table = RouteTable::new(configuration);
         for (former, latter) in table.tenants_sharing_credentials() {
@@ -358,7 +360,7 @@
         if !self.is_latest_incarnation(&runner) {
             return;
         }
-        self.names.share(&mut runner);
+        self.names.intern_names(&mut runner);
         let runner = Arc::new(runner);
         self.log_runner(&runner, revision, in_full_read);
         self.placement.update_runner(runner.clone());
@@ -397,7 +399,7 @@
         if expected == runner.state && (known_state.is_some() || in_full_read) {
             return;
         }
-        if expected == runner.state && !self.arrivals.tells(Instant::now()) {
+        if expected == runner.state && !self.arrivals.should_log(Instant::now()) {
             return;
         }
         tracing::info!(
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -123,15 +123,15 @@
     /// Rate limits that runners advertised, as updates for other nodes.
     pub limits: Vec<LimitUpdate>,
     /// Runners that signalled that they are draining, as updates for other nodes.
-    pub leaving: Vec<DrainingUpdate>,
+    pub draining: Vec<DrainingUpdate>,
 }
 
 /// The rate limit that each runner last advertised, by runner id. Runners that
 /// never advertised one are missing.
-pub type Limits = Arc<BTreeMap<Arc<str>, AdvertisedLimit>>;
+pub type AdvertisedLimits = Arc<BTreeMap<Arc<str>, AdvertisedLimit>>;
 
 /// Ids of the runners that signalled that they are draining.
-pub type LeavingRunners = Arc<BTreeSet<Arc<str>>>;
+pub type DrainingRunners = Arc<BTreeSet<Arc<str>>>;
 
 /// When the pause ends that a runner requested of this node, by runner id.
 pub type RequestedPauses = Arc<BTreeMap<Arc<str>, std::time::Instant>>;
@@ -154,8 +154,8 @@
     // Bounded by the requests in flight: each has one command in the queue.
     commands: mpsc::UnboundedSender<Command>,
     shared: Arc<SharedCounters>,
-    limits: watch::Receiver<Limits>,
-    draining: watch::Receiver<LeavingRunners>,
+    limits: watch::Receiver<AdvertisedLimits>,
+    draining: watch::Receiver<DrainingRunners>,
     requested_pauses: watch::Receiver<RequestedPauses>,
 }
 
@@ -206,7 +206,7 @@
     }
 
     /// Replaces the configuration by which the dispatcher decides.
-    pub fn configure(&self, configuration: Arc<Configuration>) {
+    pub fn set_configuration(&self, configuration: Arc<Configuration>) {
         self.send(Command::Configure(configuration));
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// Applies rate limits of runners that another node reported.
-    pub fn hear_limits(&self, updates: Vec<LimitUpdate>) {
+    pub fn apply_limit_updates(&self, updates: Vec<LimitUpdate>) {
         if !updates.is_empty() {
             self.send(Command::ApplyLimitUpdates(updates));
         }
@@ -259,7 +259,7 @@
     }
 
     /// Marks runners as draining that another node reported.
-    pub fn hear_leaving_news(&self, updates: Vec<DrainingUpdate>) {
+    pub fn apply_draining_updates(&self, updates: Vec<DrainingUpdate>) {
         if !updates.is_empty() {
             self.send(Command::ApplyDrainingUpdates(updates));
         }
@@ -273,7 +273,7 @@
 
     /// Returns the remaining time of the pause that the runner `id` requested of this
     /// node; `None` if there is none or it is over.
-    pub fn pause_left(&self, id: &str) -> Option<Duration> {
+    pub fn remaining_pause(&self, id: &str) -> Option<Duration> {
         let end = self.requested_pauses.borrow().get(id).copied()?;
         let remaining = end.saturating_duration_since(Instant::now().into_std());
         (!remaining.is_zero()).then_some(remaining)
@@ -285,12 +285,12 @@
     }
 
     /// Returns the rate limit that each runner last advertised to any node.
-    pub fn limits(&self) -> Limits {
+    pub fn advertised_limits(&self) -> AdvertisedLimits {
         self.limits.borrow().clone()
     }
 
     /// Returns the ids of the runners that signalled to any node that they are draining.
-    pub fn leaving(&self) -> LeavingRunners {
+    pub fn draining_runners(&self) -> DrainingRunners {
         self.draining.borrow().clone()
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// Returns the number of nodes over which cluster-wide limits are divided; at least 1.
-    pub fn nodes(&self) -> u32 {
+    pub fn member_count(&self) -> u32 {
         self.shared.nodes.load(Ordering::Relaxed).max(1)
     }
 
--- a/crates/gateway/src/dispatch/task.rs
+++ b/crates/gateway/src/dispatch/task.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::dispatch::{
-    CallId, Command, DispatchHandle, LeavingRunners, Limits, Permit, RatePermitRequest,
+    AdvertisedLimits, CallId, Command, DispatchHandle, DrainingRunners, Permit, RatePermitRequest,
     RequestedPauses, Snapshot,
 };
 use crate::journal;
@@ -36,8 +36,8 @@
     rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
 ) -> DispatchHandle {
     let (commands, inbox) = mpsc::unbounded_channel();
-    let (limits_sender, limits) = watch::channel(Limits::default());
-    let (draining_sender, draining) = watch::channel(LeavingRunners::default());
+    let (limits_sender, limits) = watch::channel(AdvertisedLimits::default());
+    let (draining_sender, draining) = watch::channel(DrainingRunners::default());
     let (pauses_sender, requested_pauses) = watch::channel(RequestedPauses::default());
     let handle = DispatchHandle {
         commands,
@@ -71,8 +71,8 @@
     handle: DispatchHandle,
     urgent: Arc<tokio::sync::Notify>,
     rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
-    limits: watch::Sender<Limits>,
-    draining: watch::Sender<LeavingRunners>,
+    limits: watch::Sender<AdvertisedLimits>,
+    draining: watch::Sender<DrainingRunners>,
     requested_pauses: watch::Sender<RequestedPauses>,
 }
 
@@ -228,7 +228,7 @@
                     unreachable: self.dispatcher.unreachable_runners(now()),
                     demand: self.dispatcher.demand_items(now()),
                     limits: self.dispatcher.limit_updates(now()),
-                    leaving: self.dispatcher.draining_updates(now()),
+                    draining: self.dispatcher.draining_updates(now()),
                 });
             }
         }
--- a/crates/gateway/src/feed/copy.rs
+++ b/crates/gateway/src/feed/copy.rs
@@ -45,7 +45,7 @@
             state,
             changes,
             times: FeedTimes::new(&context.settings.bounds),
-            peers_first_until: context.started + PEERS_FIRST_FOR,
+            peers_first_until: context.started_at + PEERS_FIRST_FOR,
         }
     }
 
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -125,7 +125,7 @@
         self.abandoned
             .retain(|name, _| seen_peers.contains_key(name));
         let myself = OwnNode::of(&self.context.settings);
-        let max_silence = peer_timeout(self.context.dispatch.nodes());
+        let max_silence = peer_timeout(self.context.dispatch.member_count());
         if self.copy.is_stale() && self.copy.peers_first_until().is_none() {
             let unreachable = *self.unreachable.borrow();
             let peer = unreachable
--- a/crates/gateway/src/feed/staleness.rs
+++ b/crates/gateway/src/feed/staleness.rs
@@ -26,7 +26,7 @@
             return;
         };
         let lasted = stale_since.elapsed();
-        metrics.knowledge_current(lasted);
+        metrics.view_current_again(lasted);
         tracing::info!(
             event = "knowledge_current",
             era = current_state.revision().era,
--- a/crates/gateway/src/kept_configuration.rs
+++ b/crates/gateway/src/kept_configuration.rs
@@ -14,8 +14,8 @@
 
 use crate::context::Context;
 use crate::peers::SeenPeer;
+use crate::stagger::staggered_delay;
 use crate::store::Store;
-use crate::turns::pause_until_turn;
 
 /// Key under which the newest configuration is kept.
 pub const KEPT_CONFIGURATION_KEY: &str = "barleyspar/configuration";
@@ -57,7 +57,7 @@
         }
         let store = self.store.clone();
         let shown = self.shown_version.subscribe();
-        let delay = pause_until_turn(&self.context, &self.seen_peers.borrow());
+        let delay = staggered_delay(&self.context, &self.seen_peers.borrow());
         crate::tasks::spawn(async move {
             sleep(delay).await;
             let in_store = *shown.borrow();
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -11,11 +11,11 @@
 /// Updates on runners and requests that each node passes on, whether it made the
 /// observation itself or received it from another node.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct ClusterUpdates {
     /// Rate limits that runners advertised.
     pub limits: Vec<LimitUpdate>,
     /// Runners that signalled that they are draining.
-    pub leaving: Vec<DrainingUpdate>,
+    pub draining: Vec<DrainingUpdate>,
     /// Requests that must not be sent to any runner, since they crash runners.
     pub quarantined: Vec<QuarantineUpdate>,
 }
@@ -33,7 +33,7 @@
         /// The sender's attempts in flight, by runner.
         in_flight: Vec<(RunnerKey, u32)>,
         /// Updates on runners and requests that the sender passes on.
-        news: News,
+        news: ClusterUpdates,
     },
     /// Attempts in flight of all nodes behind one relay, sent to the other relays.
     RelaySum {
@@ -42,7 +42,7 @@
         /// Sum over the relay's nodes.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
-        news: News,
+        news: ClusterUpdates,
     },
     /// Attempts in flight of all nodes, sent by a relay to its nodes.
     Fleet {
@@ -51,7 +51,7 @@
         /// Sum over the nodes of all relays.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
-        news: News,
+        news: ClusterUpdates,
     },
     /// One node's demand for models, sent to the placement leader.
     Demand {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -230,42 +230,42 @@
 
     /// Counts a connection to a runner that broke during a request. `progress`: how far the
     /// request had come; `cause`: whether the runner crashed.
-    pub fn attempt_broke(&self, progress: &'static str, cause: &'static str) {
+    pub fn connection_broke(&self, progress: &'static str, cause: &'static str) {
         let labels = BrokenLabels { progress, cause };
         self.broken.get_or_create(&labels).inc();
     }
 
     /// Counts a call to the store and records how long it took.
-    pub fn store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
+    pub fn store_call_ended(&self, call: &'static str, outcome: &'static str, took: Duration) {
         let labels = CallLabels { call, outcome };
         self.store_calls.get_or_create(&labels).inc();
         self.store_seconds.observe(took.as_secs_f64());
     }
 
     /// Counts an order to a runner. `outcome`: the runner's answer, or that there was none.
-    pub fn order(&self, call: &'static str, outcome: &'static str) {
+    pub fn order_ended(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.orders.get_or_create(&labels).inc();
     }
 
     /// Sets the version of the configuration in force.
-    pub fn configuration(&self, version: u64) {
+    pub fn set_configuration_version(&self, version: u64) {
         self.configuration_version.set(version);
     }
 
     /// Records that this node's view of the store is current again after it was stale for
     /// `lasted`.
-    pub fn knowledge_current(&self, lasted: Duration) {
+    pub fn view_current_again(&self, lasted: Duration) {
         self.knowledge_old_seconds.observe(lasted.as_secs_f64());
     }
 
     /// Sets whether this node is the placement leader.
-    pub fn leads(&self, leads: bool) {
+    pub fn set_leading(&self, leads: bool) {
         self.leading.set(i64::from(leads));
     }
 
     /// Sets the number of nodes over which cluster-wide limits are divided.
-    pub fn nodes(&self, nodes: usize) {
+    pub fn set_member_count(&self, nodes: usize) {
         self.nodes.set(nodes as i64);
     }
 
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -22,7 +22,7 @@
 impl Names {
     /// Replaces the names in `runner` by their interned copies, and shrinks its lists to
     /// their length.
-    pub fn share(&mut self, runner: &mut Runner) {
+    pub fn intern_names(&mut self, runner: &mut Runner) {
         self.intern(&mut runner.service);
         self.intern(&mut runner.zone);
         for held in &mut runner.models {
--- a/crates/gateway/src/names_tests.rs
+++ b/crates/gateway/src/names_tests.rs
@@ -32,8 +32,8 @@
 fn runners_share_their_names() {
     let mut names = Names::default();
     let (mut first, mut second) = (runner(1, "model"), runner(2, "model"));
-    names.share(&mut first);
-    names.share(&mut second);
+    names.intern_names(&mut first);
+    names.intern_names(&mut second);
     assert!(Arc::ptr_eq(&first.service, &second.service));
     assert!(Arc::ptr_eq(&first.models[0].model, &second.models[0].model));
     assert_eq!(second, runner(2, "model"));
@@ -43,7 +43,7 @@
 fn names_that_nobody_uses_are_forgotten() {
     let mut names = Names::default();
     for number in 0..10 * UNUSED_ALLOWANCE {
-        names.share(&mut runner(number, &format!("model-{number}")));
+        names.intern_names(&mut runner(number, &format!("model-{number}")));
     }
     assert!(
         names.interned.len() < 2 * UNUSED_ALLOWANCE,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -69,14 +69,14 @@
 
 /// Options of model placement: the operators' policy, and switches for measurements.
 #[derive(Debug)]
-pub struct Placing {
+pub struct PlacementOptions {
     /// The policy program, which decides how many replicas a model may have.
     pub policy: Program,
     /// Parts of the planner that are switched off, to measure their effect.
     pub switches: Switches,
 }
 
-impl Placing {
+impl PlacementOptions {
     /// Completes the planner's settings with the limits on the rate of loads.
     fn with_pace(self, pace: LoadRateLimits) -> PlannerSettings {
         PlannerSettings {
@@ -93,7 +93,7 @@
     read_settings: impl Fn() -> Result<NodeSettings, String> + Send + 'static,
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: Placing,
+    placing: PlacementOptions,
 ) -> Result<(), NodeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
@@ -120,7 +120,7 @@
     pub async fn start(
         settings: NodeSettings,
         dialect: Arc<dyn Dialect>,
-        placing: Placing,
+        placing: PlacementOptions,
         network: Arc<dyn Network>,
     ) -> Result<Self, NodeError> {
         let (stage, lifecycle) = Lifecycle::running();
@@ -178,7 +178,7 @@
 async fn start(
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: Placing,
+    placing: PlacementOptions,
     network: Arc<dyn Network>,
     lifecycle: Lifecycle,
 ) -> Result<Context, NodeError> {
@@ -204,7 +204,7 @@
         dialect: dialect.clone(),
         network: network.clone(),
         settings: settings.clone(),
-        started: Instant::now(),
+        started_at: Instant::now(),
         routes,
         confirmed_at,
         quota,
--- a/crates/gateway/src/peers/relaying.rs
+++ b/crates/gateway/src/peers/relaying.rs
@@ -8,7 +8,7 @@
 use barleyspar_dispatch::{Inventory, RunnerKey};
 use tokio::time::Instant;
 
-use crate::messages::{Message, News};
+use crate::messages::{ClusterUpdates, Message};
 use crate::peers::LoadSum;
 use crate::peers::members::NodeKey;
 use crate::peers::relay::{RELAY_INTERVAL, RELAY_TIMEOUT, subtract_load};
@@ -70,7 +70,7 @@
     pub(super) async fn send_load_to_relay(
         &mut self,
         in_flight: Vec<(RunnerKey, u32)>,
-        updates: News,
+        updates: ClusterUpdates,
         now: Instant,
     ) {
         self.avoided_relays.retain(|_, until| now < *until);
@@ -107,7 +107,7 @@
     pub(super) async fn send_relay_sums(
         &mut self,
         relays: &[Arc<str>],
-        updates: News,
+        updates: ClusterUpdates,
         now: Instant,
     ) {
         if self.relay.nodes().next().is_none() {
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::context::Context;
-use crate::messages::{Message, News};
+use crate::messages::{ClusterUpdates, Message};
 use crate::network::Datagrams;
 use crate::peers::members::Members;
 use crate::peers::relay::{RELAY_INTERVAL, RelayState};
@@ -197,21 +197,27 @@
         }
     }
 
-    fn apply_updates(&self, updates: News) {
-        self.context.dispatch.hear_limits(updates.limits);
-        self.context.dispatch.hear_leaving_news(updates.leaving);
+    fn apply_updates(&self, updates: ClusterUpdates) {
+        self.context.dispatch.apply_limit_updates(updates.limits);
+        self.context
+            .dispatch
+            .apply_draining_updates(updates.draining);
         self.context
             .crashes
             .apply_quarantine_updates(updates.quarantined);
     }
 
     /// Returns the updates for this node's next message.
-    fn next_updates(&mut self, limits: Vec<LimitUpdate>, leaving: Vec<DrainingUpdate>) -> News {
+    fn next_updates(
+        &mut self,
+        limits: Vec<LimitUpdate>,
+        leaving: Vec<DrainingUpdate>,
+    ) -> ClusterUpdates {
         self.update_round = self.update_round.wrapping_add(1);
         let now = Instant::now().into_std();
-        News {
+        ClusterUpdates {
             limits,
-            leaving,
+            draining: leaving,
             quarantined: self
                 .quarantine
                 .borrow()
@@ -310,7 +316,7 @@
         self.published_changes = Some(self.members.changes());
         let own = self.context.settings.name.clone();
         let members: Vec<Arc<str>> = self.members.names().cloned().chain([own]).collect();
-        self.context.metrics.nodes(members.len());
+        self.context.metrics.set_member_count(members.len());
         self.context.dispatch.set_members(members);
     }
 
@@ -319,7 +325,7 @@
         let Some(snapshot) = self.context.dispatch.snapshot().await else {
             return;
         };
-        let updates = self.next_updates(snapshot.limits, snapshot.leaving);
+        let updates = self.next_updates(snapshot.limits, snapshot.draining);
         if !self.members.is_relayed() {
             let others = self.members.names().cloned().collect();
             return self.send_load_to(snapshot.load, updates, others).await;
@@ -343,7 +349,7 @@
     pub(super) async fn send_load_to(
         &mut self,
         in_flight: Vec<(RunnerKey, u32)>,
-        updates: News,
+        updates: ClusterUpdates,
         to: Vec<Arc<str>>,
     ) {
         let message = Message::Load {
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -13,8 +13,8 @@
 use crate::lifecycle::Stage;
 use crate::peers::{SeenPeer, peer_timeout};
 use crate::placement::{LEADER_KEY, LEASE_ERA_KEY, LeaderRecord};
+use crate::stagger::staggered_delay;
 use crate::store::Store;
-use crate::turns::pause_until_turn;
 
 /// The lease's time to live where runners don't check fencing tokens, as a fraction of
 /// the time within which only one node may order a runner. A successor waits for the
@@ -85,7 +85,7 @@
         loop {
             let predecessor = self.wait_for_vacancy().await;
             let vacant_since = Instant::now();
-            let delay = pause_until_turn(&self.context, &self.seen_peers.borrow());
+            let delay = staggered_delay(&self.context, &self.seen_peers.borrow());
             sleep(delay).await;
             let leader = self.leader.borrow().as_ref().map(|leader| leader.revision);
             if leader != predecessor || self.context.routes.borrow().is_none() {
@@ -125,7 +125,7 @@
         if leader.node == self.context.settings.name {
             return true;
         }
-        let max_silence = peer_timeout(self.context.dispatch.nodes());
+        let max_silence = peer_timeout(self.context.dispatch.member_count());
         let last_seen = self
             .seen_peers
             .borrow()
--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -15,8 +15,8 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::context::{CONNECT_TIMEOUT, Context};
-use crate::notices::{self, Heard};
 use crate::rate_permits;
+use crate::signals::{self, SignalledCall};
 use crate::upstream::Connection;
 
 /// Timeout for the whole answer to a call.
@@ -133,7 +133,7 @@
     mut request: Request<Bytes>,
     is_allowed: impl Fn() -> bool,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    if let Some(pause) = context.dispatch.pause_left(&runner.id) {
+    if let Some(pause) = context.dispatch.remaining_pause(&runner.id) {
         return Err(CallError::NotBefore(pause));
     }
     acquire_rate_permit(context, runner).await?;
@@ -156,7 +156,7 @@
         Err(error) => {
             // After a network partition, a pending order could otherwise reach the
             // runner behind the orders of a successor.
-            connection.give_up();
+            connection.discard();
             Err(error)
         }
     }
@@ -185,13 +185,13 @@
         })?;
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
-    let heard = Heard {
-        asked: runner,
+    let heard = SignalledCall {
+        runner: runner,
         call: name,
         sent_at,
-        always_limited: false,
+        limit_expected: false,
     };
-    notices::hear(context, &heard, head.status, &facts);
+    signals::apply_signals(context, &heard, head.status, &facts);
     let body = timeout_at(until, Limited::new(body, MAX_ANSWER_BYTES).collect())
         .await
         .map_err(|_| unanswered("timed out".to_owned()))?
@@ -203,11 +203,15 @@
 /// Acquires a permit to call `runner` if it is rate-limited: the leader's calls count
 /// towards the limit that all nodes share.
 async fn acquire_rate_permit(context: &Context, runner: &Runner) -> Result<(), CallError> {
-    let announced = context.dispatch.limits().get(&runner.id).copied();
+    let announced = context
+        .dispatch
+        .advertised_limits()
+        .get(&runner.id)
+        .copied();
     let Some(limit) = announced.and_then(|announced| announced.limit) else {
         return Ok(());
     };
-    match rate_permits::permit(context, &runner.id, limit).await {
+    match rate_permits::request_permit(context, &runner.id, limit).await {
         RatePermitAnswer::Granted => Ok(()),
         RatePermitAnswer::Denied(wait) => Err(CallError::NotBefore(wait)),
     }
--- a/crates/gateway/src/placement/runners.rs
+++ b/crates/gateway/src/placement/runners.rs
@@ -12,7 +12,7 @@
 use barleyspar_dispatch::{RunnerKey, runner_key};
 use tokio::time::Instant;
 
-use crate::dispatch::{LeavingRunners, Limits};
+use crate::dispatch::{AdvertisedLimits, DrainingRunners};
 use crate::placement::tracked_runner::TrackedRunner;
 
 /// Maximum number of runners for which a new leader reads all reports at once. Each
@@ -140,7 +140,7 @@
 
     /// Excludes runners that announced that they are draining, whatever their entries
     /// say.
-    pub fn set_draining(&mut self, leaving: &LeavingRunners) {
+    pub fn set_draining(&mut self, leaving: &DrainingRunners) {
         for id in leaving.iter() {
             if let Some(entry) = self.tracked.get_mut(id) {
                 entry.view.available = false;
@@ -150,7 +150,7 @@
 
     /// Applies the rate limits that runners announced. An order to a runner whose limit
     /// is reached is not sent, and is planned again only once the runner may be called.
-    pub fn set_limits(&mut self, limits: &Limits) {
+    pub fn set_limits(&mut self, limits: &AdvertisedLimits) {
         let now = Instant::now();
         for (id, entry) in &mut self.tracked {
             let announced = limits
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -148,7 +148,7 @@
     }
 
     fn publish_pause(&self) -> Duration {
-        let pause = PUBLISH_PAUSE * self.context.dispatch.nodes();
+        let pause = PUBLISH_PAUSE * self.context.dispatch.member_count();
         pause.min(MAX_PUBLISH_PAUSE)
     }
 
@@ -168,7 +168,7 @@
             Command::SetEvacuated(zones) => self.runners.set_evacuated(zones),
             Command::RetainRunners(kept) => self.runners.retain(&kept),
             Command::Demand(node, items, unreachable) => {
-                let valid_for = demand_valid_for(self.context.dispatch.nodes());
+                let valid_for = demand_valid_for(self.context.dispatch.member_count());
                 self.book.update(node, items, valid_for, now());
                 self.runners.reread_unreachable(&unreachable);
             }
@@ -184,7 +184,7 @@
             return;
         }
         self.leading = token;
-        self.context.metrics.leads(token.is_some());
+        self.context.metrics.set_leading(token.is_some());
         self.planner.reset(now());
         match token {
             Some(_) => self.runners.start_leading(&self.configuration),
@@ -277,8 +277,10 @@
         let Some(lease) = lease.filter(may_order) else {
             return;
         };
-        self.runners.set_draining(&self.context.dispatch.leaving());
-        self.runners.set_limits(&self.context.dispatch.limits());
+        self.runners
+            .set_draining(&self.context.dispatch.draining_runners());
+        self.runners
+            .set_limits(&self.context.dispatch.advertised_limits());
         let mut views: Vec<RunnerView> = self
             .runners
             .tracked()
@@ -350,7 +352,7 @@
         };
         self.context
             .metrics
-            .order(result.order.action.name(), outcome);
+            .order_ended(result.order.action.name(), outcome);
         let Some(entry) = self.runners.get_mut(&result.runner) else {
             return;
         };
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -59,8 +59,8 @@
 impl QuotaTask {
     /// Creates the task of the node with this context.
     pub fn new(context: Context, peers: PeerHandle, inbox: QuotaInbox) -> Self {
-        let nodes = context.dispatch.nodes();
-        let started = context.started.into_std();
+        let nodes = context.dispatch.member_count();
+        let started = context.started_at.into_std();
         Self {
             owners: Owners::new(&context.settings),
             owner: QuotaOwner::new(started, peer_timeout(nodes)),
@@ -148,7 +148,7 @@
     fn refresh_owners(&mut self) {
         let now = Instant::now();
         if self.owners.is_refresh_due(now) {
-            let nodes = self.context.dispatch.nodes();
+            let nodes = self.context.dispatch.member_count();
             let heard = self.peers.seen_peers();
             let silence = peer_timeout(nodes);
             self.owners
--- a/crates/gateway/src/rate_permits.rs
+++ b/crates/gateway/src/rate_permits.rs
@@ -24,7 +24,7 @@
     while let Some((runner, limit)) = requests.recv().await {
         let context = context.clone();
         crate::tasks::spawn(async move {
-            let answer = permit(&context, &runner, limit).await;
+            let answer = request_permit(&context, &runner, limit).await;
             context.dispatch.apply_rate_permit(runner, answer);
         });
     }
@@ -32,7 +32,11 @@
 
 /// Requests a permit for one call to `runner`, which advertised `limit`. If the limit owner
 /// does not answer, the permit is denied for [`UNANSWERED_PAUSE`].
-pub async fn permit(context: &Context, runner: &Arc<str>, limit: RunnerLimit) -> RatePermitAnswer {
+pub async fn request_permit(
+    context: &Context,
+    runner: &Arc<str>,
+    limit: RunnerLimit,
+) -> RatePermitAnswer {
     match context.quota.admit_call(runner.clone(), limit).await {
         QuotaDecision::Granted => RatePermitAnswer::Granted,
         QuotaDecision::Denied(wait) => RatePermitAnswer::Denied(wait),
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/signals.rs
@@ -10,22 +10,27 @@
 use crate::journal;
 
 /// The call to which an answer with signals belongs.
-pub struct Heard<'a> {
+pub struct SignalledCall<'a> {
     /// The runner to which the call was sent.
-    pub asked: &'a Runner,
+    pub runner: &'a Runner,
     /// Name of the call in metrics and log lines.
     pub call: &'static str,
     /// When the call was sent.
     pub sent_at: Instant,
     /// Whether a runner with a rate limit advertises it in each answer to this call, so
     /// that an answer without one means that there is none.
-    pub always_limited: bool,
+    pub limit_expected: bool,
 }
 
 /// Applies the signals in the head of an answer. Ignores those of an answer that another
 /// runner gave.
-pub fn hear(context: &Context, call: &Heard<'_>, status: StatusCode, facts: &AnswerFacts) {
-    if !is_from_called_runner(call.asked, status, facts) {
+pub fn apply_signals(
+    context: &Context,
+    call: &SignalledCall<'_>,
+    status: StatusCode,
+    facts: &AnswerFacts,
+) {
+    if !is_from_called_runner(call.runner, status, facts) {
         return;
     }
     let RunnerSignals {
@@ -33,19 +38,19 @@
         draining: leaves,
         requested_pause: pause,
     } = facts.signals;
-    if limit.is_some() || call.always_limited {
+    if limit.is_some() || call.limit_expected {
         apply_limit(context, call, facts);
     }
     if leaves {
         context.metrics.runner_signal(call.call, "leaves");
-        context.dispatch.mark_draining(call.asked.id.clone());
+        context.dispatch.mark_draining(call.runner.id.clone());
     }
     if let Some(pause) = pause {
         context.metrics.runner_signal(call.call, "pause");
-        journal::runner_requested_pause(&call.asked.id, call.call, pause);
+        journal::runner_requested_pause(&call.runner.id, call.call, pause);
         context
             .dispatch
-            .set_requested_pause(call.asked.id.clone(), pause);
+            .set_requested_pause(call.runner.id.clone(), pause);
     }
 }
 
@@ -61,7 +66,7 @@
 /// Applies the rate limit in an answer, or its absence. Absence counts as of the time at
 /// which the call was sent, since an answer that advertises a limit may have overtaken this
 /// one.
-fn apply_limit(context: &Context, call: &Heard<'_>, facts: &AnswerFacts) {
+fn apply_limit(context: &Context, call: &SignalledCall<'_>, facts: &AnswerFacts) {
     let limit = facts.signals.limit;
     context.metrics.limit_answer(call.call, limit.is_some());
     let at = if limit.is_some() {
@@ -70,7 +75,7 @@
         call.sent_at
     };
     let at = at.into_std();
-    let runner = call.asked.id.clone();
+    let runner = call.runner.id.clone();
     context
         .dispatch
         .apply_limit(runner, AdvertisedLimit { limit, at });
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/stagger.rs
@@ -21,8 +21,8 @@
 
 /// Returns the time that this node waits before it tries. `heard`: the other nodes and when
 /// they were last seen. Nodes with a faster link come first; unresponsive nodes don't count.
-pub fn pause_until_turn(context: &Context, heard: &HashMap<Arc<str>, SeenPeer>) -> Duration {
-    let silence = peer_timeout(context.dispatch.nodes());
+pub fn staggered_delay(context: &Context, heard: &HashMap<Arc<str>, SeenPeer>) -> Duration {
+    let silence = peer_timeout(context.dispatch.member_count());
     let myself = OwnNode::of(&context.settings);
     let nodes_ahead = count_preceding_peers(&myself, heard, silence);
     let beyond_first = nodes_ahead.saturating_sub(FIRST_POSITIONS) as u32;
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -142,7 +142,7 @@
             .unwrap_or_else(|_| Err(timeout_error()));
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         let elapsed = started.elapsed();
-        self.metrics.store_call(call.name(), outcome, elapsed);
+        self.metrics.store_call_ended(call.name(), outcome, elapsed);
         if let Err(error) = &result {
             tracing::info!(
                 event = "store_call_failed",
@@ -171,7 +171,7 @@
         self.observe_era(era);
         let status = response.status();
         let body = self.read_body(response.into_body(), answer_timeout).await?;
-        connection.rest(Some(KEEP_ALIVE_SECONDS));
+        connection.mark_idle(Some(KEEP_ALIVE_SECONDS));
         self.lock_idle().push(connection);
         if era < self.era.borrow().number {
             return Err(StoreError::Unanswered(
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -39,7 +39,7 @@
     TimedOut,
     /// All connections that this node may have to the runner are in use.
     #[error("this node's share of the runner's connections is in use")]
-    NoShareLeft,
+    ConnectionLimitReached,
 }
 
 /// Reason why a request got no head of an answer.
@@ -121,7 +121,7 @@
 
     /// Marks the connection as idle from now on, after an answer was read completely.
     /// `keep_alive_seconds`: the keep-alive time that the peer announced in it, if any.
-    pub fn rest(&mut self, keep_alive_seconds: Option<u64>) {
+    pub fn mark_idle(&mut self, keep_alive_seconds: Option<u64>) {
         self.idle_since = Instant::now();
         self.idle_limit = keep_alive_seconds.map_or(DEFAULT_IDLE_LIMIT, |seconds| {
             Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN)
@@ -142,7 +142,7 @@
 
     /// Closes the connection and discards all bytes of the request that are not delivered
     /// yet. The peer may not notice the close, since a lost reset is not sent again.
-    pub fn give_up(self) {
+    pub fn discard(self) {
         self.socket.discard_unsent();
     }
 
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -88,7 +88,7 @@
         mut connection: Connection,
         keep_alive_seconds: Option<u64>,
     ) {
-        connection.rest(keep_alive_seconds);
+        connection.mark_idle(keep_alive_seconds);
         if connection.is_closed() {
             return;
         }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -11,7 +11,7 @@
     MachineLimits, ModelSpec, NodeSettings, QuotaBounds, RequestKind, Route, Runner, RunnerState,
     Service, Tenant, WeightCopies, incarnation_id,
 };
-use barleyspar_gateway::{ByteStream, Gateway, Placing, TaskGroup};
+use barleyspar_gateway::{ByteStream, Gateway, PlacementOptions, TaskGroup};
 use barleyspar_loading::Switches;
 use barleyspar_policy::Program;
 use bytes::Bytes;
@@ -202,7 +202,7 @@
     }
 
     async fn gateway_process(&self, number: u8, settings: NodeSettings) -> GatewayProcess {
-        let placing = Placing {
+        let placing = PlacementOptions {
             policy: Program::compile(POLICY).expect("the policy is well formed"),
             switches: Switches::default(),
         };
