--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -186,7 +186,7 @@
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
     let heard = SignalledCall {
-        runner: runner,
+        runner,
         call: name,
         sent_at,
         limit_expected: false,
