--- a/crates/loading/src/adapters.rs
+++ b/crates/loading/src/adapters.rs
@@ -62,7 +62,7 @@
                 let pending = runner
                     .pending_adapters
                     .iter()
-                    .any(|(of, name)| &**of == model && &**name == adapter);
+                    .any(|(pending_model, name)| &**pending_model == model && &**name == adapter);
                 held || pending
             })
     }
--- a/crates/loading/src/decisions.rs
+++ b/crates/loading/src/decisions.rs
@@ -24,7 +24,7 @@
 
 impl ReplicaDecision {
     /// Returns whether runners of `zone` may hold the model.
-    pub fn allows(&self, zone: &str) -> bool {
+    pub fn allows_zone(&self, zone: &str) -> bool {
         self.zones.is_empty() || self.zones.iter().any(|allowed| &**allowed == zone)
     }
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// State of one service that the policy decides about.
+/// State of one service, from which the policy's input for each of its models is made.
 pub struct PolicyQuery<'a> {
     /// Name of the service.
     pub service: &'a Arc<str>,
--- a/crates/loading/src/demand.rs
+++ b/crates/loading/src/demand.rs
@@ -1,4 +1,4 @@
-//! Sums the demand for models and adapters that all nodes report.
+//! Sums the demand for models and adapters over the reports of all nodes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 /// Demand of the whole cluster for a model, or for one of its adapters.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ModelDemand {
-    /// Requests that wait, or whose callers were told to retry later.
+    /// Requests that wait, or that were refused and are expected to be retried.
     pub waiting: u32,
     /// Priority of the most urgent recent request; 0 is the most urgent.
     pub priority: u8,
--- a/crates/loading/src/lease.rs
+++ b/crates/loading/src/lease.rs
@@ -12,8 +12,8 @@
     /// Time subtracted from the lease's time to live, to cover clock drift and network
     /// delay.
     pub margin: Duration,
-    /// Time without orders after the previous leader's last possible order, so that it
-    /// can no longer take effect.
+    /// Time without orders after the last order that the previous leader may have given,
+    /// so that this order can no longer take effect.
     pub quiet_period: Duration,
 }
 
@@ -30,12 +30,12 @@
 }
 
 impl Lease {
-    /// Creates a lease granted for `time_to_live` by a call sent at `granted_call`. The
+    /// Creates a lease granted for `time_to_live` by a call sent at `sent_at`. The
     /// previous leader is certain to have given no order after `quiet_from`.
     pub fn new(
         id: u64,
         token: u64,
-        granted_call: Instant,
+        sent_at: Instant,
         time_to_live: Duration,
         quiet_from: Instant,
         settings: LeaseSettings,
@@ -44,17 +44,17 @@
             id,
             token,
             quiet_from,
-            valid_until: certain_end(granted_call, time_to_live, settings),
+            valid_until: certain_end(sent_at, time_to_live, settings),
             settings,
         }
     }
 
-    /// Extends the lease after a successful renewal whose call was sent at `sent`. A
+    /// Extends the lease after a successful renewal whose call was sent at `sent_at`. A
     /// renewal that ends earlier than the current validity changes nothing.
-    pub fn extend(&mut self, sent: Instant, time_to_live: Duration) {
+    pub fn extend(&mut self, sent_at: Instant, time_to_live: Duration) {
         self.valid_until = self
             .valid_until
-            .max(certain_end(sent, time_to_live, self.settings));
+            .max(certain_end(sent_at, time_to_live, self.settings));
     }
 
     /// Returns whether the lease is certain to be valid at `now`.
@@ -69,6 +69,8 @@
     }
 }
 
-fn certain_end(sent: Instant, time_to_live: Duration, settings: LeaseSettings) -> Instant {
-    sent + time_to_live.saturating_sub(settings.margin)
+/// Returns until when a lease is certain to be valid whose grant or renewal for
+/// `time_to_live` was requested at `sent_at`.
+fn certain_end(sent_at: Instant, time_to_live: Duration, settings: LeaseSettings) -> Instant {
+    sent_at + time_to_live.saturating_sub(settings.margin)
 }
--- a/crates/loading/src/load_rate.rs
+++ b/crates/loading/src/load_rate.rs
@@ -5,9 +5,9 @@
 /// Fraction of the store's load rate that is used. The rest covers orders without an
 /// answer, which may be carried out in a later window that has its own loads.
 const USED_FRACTION: f64 = 0.95;
-/// Number of loads that the store allows in any window on top of its rate.
+/// Number of loads that the site allows in any window on top of the store's rate.
 const FREE_LOADS_PER_WINDOW: f64 = 3.0;
-/// Fraction of the allowed excess over the rate that is used.
+/// Used fraction of the loads that `overage` allows above the store's rate.
 const USED_EXCESS_FRACTION: f64 = 0.4;
 
 /// Limits on the loads from the weight store, as enforced by the site.
--- a/crates/loading/src/models.rs
+++ b/crates/loading/src/models.rs
@@ -17,8 +17,8 @@
 /// Assumed time in seconds until a busy runner is free, if the end of its order is
 /// unknown.
 const UNKNOWN_BUSY_SECONDS: f64 = 1.0;
-/// Time in seconds to read the report of a runner that has not been asked yet: a new
-/// connection and its answer.
+/// Time in seconds to read the report of a runner for the first time: a new connection,
+/// and one call on it.
 const REPORT_READ_SECONDS: f64 = 0.02;
 /// Minimum time in seconds until a busy runner is assumed to be free: the interval to the
 /// next planning step.
@@ -151,9 +151,9 @@
         )
     }
 
-    /// Returns the seconds until the runner is expected to accept an order. A runner that
-    /// is overdue is assumed to stay busy for as long again; otherwise a model with a
-    /// weight copy there would wait for it forever.
+    /// Returns the seconds until the runner is expected to accept an order. A runner
+    /// whose order is overdue is assumed to stay busy for as long again; otherwise a
+    /// model with a weight copy there would wait for it forever.
     pub fn seconds_until_free(&self, runner: &RunnerView) -> f64 {
         if runner.accepts_orders() {
             return 0.0;
@@ -192,6 +192,8 @@
         candidates
     }
 
+    /// Returns the eviction of `model` from a runner that holds it; `None` for the last
+    /// reachable replica of a model with waiting requests or requests in flight.
     fn eviction_candidate(
         &self,
         counts: &ReplicaCounts,
--- a/crates/loading/src/placement_index.rs
+++ b/crates/loading/src/placement_index.rs
@@ -12,7 +12,7 @@
 use crate::view::{RunnerView, WeightSource};
 
 /// Time in seconds from an unload order until the runner's report confirms it: the
-/// order's answer plus the report read after it, as measured in simulation.
+/// order's answer plus the report read after it.
 const UNLOAD_SECONDS: f64 = 0.35;
 /// Cost in seconds of placing a second replica in a zone that already has one.
 const SAME_ZONE_COST: f64 = 0.3;
@@ -43,8 +43,8 @@
     capacities: Vec<OnceCell<RunnerCapacity>>,
     /// Runners that have a copy of a model's weights in host memory or on disk, by model.
     copies: HashMap<Arc<str>, Vec<(usize, WeightSource)>>,
-    /// Number of runners, by model with adapters in use, that hold the model and accept
-    /// orders now.
+    /// Number of runners that hold a model and accept orders now or once their report is
+    /// read, by model with adapters in use.
     adapter_hosts: HashMap<Arc<str>, usize>,
 }
 
@@ -67,7 +67,7 @@
         placements
     }
 
-    /// Returns the replica counts, including the orders applied so far in this step.
+    /// Returns the replica counts, including the orders already applied in this step.
     pub fn counts(&self) -> &ReplicaCounts {
         &self.counts
     }
@@ -136,13 +136,13 @@
 
     /// Returns the placement with the highest score for one more replica of `model`, or
     /// `None` if no placement is worth its cost. A runner that accepts orders only later
-    /// is considered too. Loads from the weight store are considered only if `remote` is
-    /// true.
+    /// is considered too. Loads from the weight store are considered only if
+    /// `allow_remote` is true.
     pub fn best_placement(
         &self,
         runners: &[RunnerView],
         model: &Arc<str>,
-        remote: bool,
+        allow_remote: bool,
     ) -> Option<Placement> {
         let gain = self
             .plan
@@ -154,7 +154,7 @@
             .iter()
             .filter_map(|(index, source)| placement(*index, *source));
         let remote_loads = (0..runners.len())
-            .filter(|_| remote)
+            .filter(|_| allow_remote)
             .filter(|index| !copies.iter().any(|(runner, _)| runner == index))
             .filter_map(|index| placement(index, WeightSource::Remote));
         local
@@ -214,7 +214,7 @@
                 .plan
                 .decisions
                 .get(model)
-                .is_some_and(|decision| decision.allows(&runner.zone))
+                .is_some_and(|decision| decision.allows_zone(&runner.zone))
     }
 
     fn capacity(&self, runner: &RunnerView) -> RunnerCapacity {
--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -44,9 +44,11 @@
     pub runner: Arc<str>,
     /// Load or unload to be carried out by the runner.
     pub action: OrderAction,
-    /// Where a load reads the weights from; for the log only.
+    /// Where a load reads the weights from; for the log only. The source of the load that
+    /// follows for an unload that makes room, `Memory` for adapter orders.
     pub source: WeightSource,
-    /// Model that needs the order: an unload may make room for another model.
+    /// Model for which the order is given. Differs from the model of the action if an
+    /// unload makes room for another model.
     pub wanted_by: Arc<str>,
 }
 
@@ -68,7 +70,10 @@
     /// A runner carries out at most one of all orders with the same number.
     counted_sequences: BTreeMap<Arc<str>, u64>,
     decisions: PolicyDecisions,
-    started: Instant,
+    /// When this node created or last reset the state that depends on orders: other nodes
+    /// may have given orders until then.
+    reset_at: Instant,
+    /// Time of the latest planning step.
     planned_at: Instant,
     summaries: Vec<StepSummary>,
     /// Runners whose unread reports kept the latest step from ordering them.
@@ -83,7 +88,7 @@
             services: BTreeMap::new(),
             counted_sequences: BTreeMap::new(),
             decisions: PolicyDecisions::default(),
-            started: now,
+            reset_at: now,
             planned_at: now,
             summaries: Vec::new(),
             reports_needed: Vec::new(),
@@ -113,12 +118,12 @@
     pub fn reset(&mut self, now: Instant) {
         self.services.clear();
         self.counted_sequences.clear();
-        self.started = now;
+        self.reset_at = now;
         self.planned_at = now;
     }
 
     /// Plans one step. Returns the orders to give now, at most one for each runner, and
-    /// sets `ordered` of their runners in `runners`.
+    /// sets `order_in_progress` of their runners in `runners`.
     pub fn plan(
         &mut self,
         configuration: &Configuration,
@@ -162,7 +167,7 @@
                 now,
             };
             self.plan_adapters(&plan, runners, &mut orders);
-            let mut state = self.service_state(&service.name);
+            let mut state = self.take_service_state(&service.name);
             state.store_loads.set_longest_load(longest_load(engine));
             update_store_loads(&mut state.store_loads, runners, now);
             mark_over_limit(&service.name, &models, runners);
@@ -193,13 +198,15 @@
         orders
     }
 
-    fn service_state(&mut self, service: &Arc<str>) -> ServiceState {
-        let (started, limits) = (self.started, self.settings.load_rate_limits);
+    /// Takes the state of `service` out of the planner, or creates it. The caller puts it
+    /// back after the step.
+    fn take_service_state(&mut self, service: &Arc<str>) -> ServiceState {
+        let (reset_at, limits) = (self.reset_at, self.settings.load_rate_limits);
         self.services
             .remove(service)
             .unwrap_or_else(|| ServiceState {
-                load_rate: LoadRateLimiter::new(limits, started),
-                store_loads: StoreConcurrency::new(started),
+                load_rate: LoadRateLimiter::new(limits, reset_at),
+                store_loads: StoreConcurrency::new(reset_at),
                 unserved: BTreeMap::new(),
             })
     }
@@ -283,16 +290,16 @@
             .models_lacking_replicas(placements.counts())
             .into_iter()
             .filter_map(|model| {
-                let remote = may_load_from_store(plan, state, making_room);
-                let placement = placements.best_placement(runners, &model, remote)?;
+                let allow_remote = may_load_from_store(plan, state, making_room);
+                let placement = placements.best_placement(runners, &model, allow_remote)?;
                 Some((placement, model))
             })
             .collect();
         while let Some((placement, model)) = pop_best(&mut candidates) {
             // Orders given earlier in this step may have changed the model's best
             // placement and its score.
-            let remote = may_load_from_store(plan, state, making_room);
-            let Some(current) = placements.best_placement(runners, &model, remote) else {
+            let allow_remote = may_load_from_store(plan, state, making_room);
+            let Some(current) = placements.best_placement(runners, &model, allow_remote) else {
                 continue;
             };
             if current.score < placement.score {
@@ -320,9 +327,9 @@
                 wanted_by: model.clone(),
                 action,
             });
-            let remote = may_load_from_store(plan, state, making_room);
+            let allow_remote = may_load_from_store(plan, state, making_room);
             if plan.lacks_replica(placements.counts(), &model)
-                && let Some(next) = placements.best_placement(runners, &model, remote)
+                && let Some(next) = placements.best_placement(runners, &model, allow_remote)
             {
                 candidates.push((next, model));
             }
@@ -331,7 +338,7 @@
         summary
     }
 
-    /// Returns the next order towards `model` at its placement: the unload of an evicted
+    /// Returns the next order that `placement` of `model` takes: the unload of an evicted
     /// model, or the load. `None` if the rate of the weight store allows no load.
     fn next_order(
         &mut self,
@@ -358,8 +365,9 @@
         Some(OrderAction::LoadModel { model })
     }
 
-    /// Counts a load from the weight store against its rate. Returns false if none may
-    /// start now. A repeated order with the same sequence number is counted once.
+    /// Counts a load from the weight store against the store's rate. Returns false if no
+    /// load may start now. A repeated order with the same sequence number is counted
+    /// once.
     fn consume_load_rate(
         &mut self,
         plan: &ModelPlan<'_>,
--- a/crates/loading/src/store_concurrency.rs
+++ b/crates/loading/src/store_concurrency.rs
@@ -11,16 +11,18 @@
 const INITIAL_MAXIMUM: f64 = 4.0;
 /// Time in seconds within which the first loads should end even if the store serves only
 /// one at full speed: about as long as callers of batch work wait. Where a load takes 13
-/// to 20 s and only one runs at full speed, four at once kept four runners from all other
-/// orders for a minute each, and none of them ended in a day.
+/// to 20 s and only one runs at full speed, four at once keep four runners from all other
+/// orders for a minute each, and none of them ends within `LOAD_TIMEOUT`, so that the
+/// estimate never improves.
 const FIRST_WAVE_SECONDS: f64 = 25.0;
 /// Minimum number of concurrent loads; without any load the estimate could not improve.
 const MINIMUM_LIMIT: f64 = 1.0;
 /// Ratio of a load's time to its time alone above which it counts as slowed by other
 /// loads.
 const SLOWDOWN_RATIO: f64 = 1.25;
-/// Growth factor of the estimate per wave of loads until one is slowed. A wave is slowed
-/// at most by the factor by which the estimate overshoots.
+/// Growth factor of the estimate per wave of loads (loads that run at the same time)
+/// until one is slowed. A wave is slowed at most by the factor by which the estimate
+/// overshoots.
 const INITIAL_GROWTH: f64 = 1.5;
 /// Time after the start of leadership, in multiples of a load's time, during which loads
 /// of the previous leader may slow the loads of this one.
@@ -74,7 +76,8 @@
         ((self.loads.len() + planned) as f64) < self.concurrency_limit()
     }
 
-    /// Returns the number of loads that are believed to be in progress.
+    /// Returns the number of loads that are assumed to be in progress: started, and
+    /// neither reported as ended nor timed out.
     pub fn loads_in_progress(&self) -> usize {
         self.loads.len()
     }
@@ -140,18 +143,20 @@
         for (took, time_alone, concurrent, beside_predecessor_loads) in ended {
             let slowdown = took.as_secs_f64() / time_alone.as_secs_f64().max(f64::EPSILON);
             if slowdown <= SLOWDOWN_RATIO || !beside_predecessor_loads {
-                self.observe(slowdown, concurrent as f64);
+                self.update_estimate(slowdown, concurrent as f64);
             }
         }
     }
 
-    fn observe(&mut self, slowdown: f64, concurrent: f64) {
+    /// Updates the estimate from a load that took `slowdown` times as long as alone and
+    /// started as one of `concurrent` loads.
+    fn update_estimate(&mut self, slowdown: f64, concurrent: f64) {
         if slowdown > SLOWDOWN_RATIO {
             self.slowdown_seen = true;
             self.at_full_speed = Some((concurrent / slowdown).max(MINIMUM_LIMIT));
         } else if !self.slowdown_seen {
-            // No load has been slowed so far: as in TCP slow start, the limit is reached
-            // in few steps at the cost of one slowed wave.
+            // No load has been slowed yet: as in TCP slow start, the limit is reached in
+            // few steps at the cost of one slowed wave.
             self.at_full_speed = Some(self.concurrency_limit().max(concurrent * INITIAL_GROWTH));
         } else if concurrent + 1.0 >= self.concurrency_limit() {
             self.at_full_speed = Some(self.concurrency_limit() + 1.0);
--- a/crates/loading/src/summary.rs
+++ b/crates/loading/src/summary.rs
@@ -17,7 +17,7 @@
     pub lacking: usize,
     /// Number of orders for models that the step gave; adapter orders are not counted.
     pub orders: usize,
-    /// Loads from the weight store believed to be in progress.
+    /// Loads from the weight store that are assumed to be in progress.
     pub store_loads: usize,
     /// Estimated number of concurrent loads that the weight store serves at full speed.
     pub store_bound: f64,
@@ -32,7 +32,8 @@
 pub struct MostWanted {
     /// Name of the model.
     pub model: Arc<str>,
-    /// Requests on all nodes that wait for the model, or whose callers were told to retry later.
+    /// Requests at all nodes that wait for the model, or that were refused and are
+    /// expected to be retried.
     pub waiting: u32,
     /// Requests for the model that runners are processing.
     pub in_flight: u32,
--- a/crates/loading/src/value.rs
+++ b/crates/loading/src/value.rs
@@ -32,8 +32,8 @@
 
 impl ReplicaValue {
     /// Creates the value function for `demand`, whose requests have `weight` each.
-    /// `unserved` requests arrived while there was no replica, `needed` replicas are
-    /// wanted by policy, and each runner has `slots`.
+    /// `unserved` requests arrived while there was no replica, `needed` is the number of
+    /// replicas that the policy demands now, and each runner has `slots`.
     pub fn new(
         demand: &ModelDemand,
         weight: f64,
@@ -52,8 +52,8 @@
     }
 
     /// Returns the value of `replicas` replicas. The first one serves all requests; each
-    /// further one shortens the waiting of requests for each other, and serves requests
-    /// for which the others have no slots.
+    /// further one shortens the time for which requests wait for each other, and serves
+    /// requests for which the others have no slots.
     fn total(&self, replicas: usize) -> f64 {
         let waiting_saved = |count: usize| 1.0 - 1.0 / count as f64;
         if replicas == 0 {
@@ -62,9 +62,9 @@
         let within_need = waiting_saved(replicas.min(self.needed));
         let surplus = waiting_saved(replicas) - within_need;
         let covered = |count: f64| (count * self.coverage_per_replica).min(1.0);
-        let beyond_the_first = covered(replicas as f64) - covered(1.0);
+        let added_coverage = covered(replicas as f64) - covered(1.0);
         self.first_replica
-            + self.further_replicas * (within_need + SURPLUS_FRACTION * surplus + beyond_the_first)
+            + self.further_replicas * (within_need + SURPLUS_FRACTION * surplus + added_coverage)
     }
 
     /// Returns the value gained by adding one replica to `replicas`.
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -37,14 +37,14 @@
     pub service: Arc<str>,
     /// Zone of the runner.
     pub zone: Arc<str>,
-    /// Whether the runner accepts new work: neither its discovery entry nor its own signals
-    /// say that it is draining.
+    /// Whether the runner accepts new work: neither its discovery entry nor its own
+    /// signals say that it is draining.
     pub available: bool,
     /// Whether the operators have evacuated the runner's zone, so that no new work is
     /// sent there.
     pub evacuated: bool,
     /// Calls per second that the runner accepts from all nodes together; `None` if it has
-    /// not recently announced a limit.
+    /// not recently advertised a limit.
     pub rate_limit: Option<f64>,
     /// Whether the runner may not be called now, because its rate limit is reached or it
     /// requested a pause.
@@ -52,8 +52,8 @@
     /// Models of this runner whose demand exceeds its rate limit and that no unlimited
     /// runner holds. Set in each planning step.
     pub over_limit: Vec<Arc<str>>,
-    /// Whether the leader reads this runner's report only on demand and has not read it yet.
-    /// The planner requests it before the first order.
+    /// Whether the leader reads this runner's report only on demand and has not read it
+    /// yet. The planner requests the report before the first order.
     pub report_unread: bool,
     /// Whether this node has a report of the runner that it read as the leader and that
     /// is not invalidated by a failed call.
@@ -71,7 +71,8 @@
     pub pending_adapters: Vec<(Arc<str>, Arc<str>)>,
     /// Models with a copy of their weights in the runner's host memory or on its disk.
     pub copies: WeightCopies,
-    /// The leader's order that the runner is carrying out or that is being sent; `None` without one.
+    /// The leader's order that the runner is carrying out or that is being sent; `None`
+    /// without one.
     pub order_in_progress: Option<OrderAction>,
     /// When the order in progress is expected to end; `None` if unknown.
     pub busy_until: Option<Instant>,
@@ -120,7 +121,7 @@
         self.accepts_orders() || (self.report_unread && self.accepts_requests())
     }
 
-    /// Returns the loaded model of this name.
+    /// Returns the loaded model of this name; `None` if the runner does not hold it.
     pub fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
         self.models.iter().find(|held| &*held.model == model)
     }
--- a/crates/loading/tests/planner.rs
+++ b/crates/loading/tests/planner.rs
@@ -534,11 +534,11 @@
     let policy = "fn decide(context) {
         #{ replicas: if context.priority == 1 && context.starved > 1.5 { 1 } else { 0 } }
     }";
-    let asked = || DemandItem {
+    let item_with_rate = || DemandItem {
         rate: 1.0,
         ..demand_item("c", None, 1)
     };
-    let mut case = Case::new(policy, vec![asked()]);
+    let mut case = Case::new(policy, vec![item_with_rate()]);
     let mut runners = [runner("1", &[])];
     let configuration = configuration(&["c"]);
     // The time since the planner's start, ten seconds ago, must not count as unserved
@@ -547,7 +547,7 @@
     assert_eq!(case.plan(&configuration, &mut runners), []);
     case.now += Duration::from_secs(2);
     case.cluster_demand
-        .update("node".into(), vec![asked()], VALID_FOR, case.now);
+        .update("node".into(), vec![item_with_rate()], VALID_FOR, case.now);
     let orders = case.plan(&configuration, &mut runners);
     assert_eq!(orders, [("1".to_owned(), load("c"))]);
 }
