--- a/crates/loading/src/decisions.rs
+++ b/crates/loading/src/decisions.rs
@@ -63,7 +63,8 @@
     pub engine: &'a EngineSpec,
     /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that arrived while it had no replica.
+    /// Requests by model that arrived while it had no reachable replica, plus the seconds
+    /// that requests waited for it then.
     pub unserved: &'a BTreeMap<Arc<str>, f64>,
     /// All runners, those of other services included.
     pub runners: &'a [RunnerView],
--- a/crates/loading/src/models.rs
+++ b/crates/loading/src/models.rs
@@ -40,7 +40,8 @@
     pub engine: &'a EngineSpec,
     /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that arrived while it had no replica.
+    /// Requests by model that arrived while it had no reachable replica, plus the seconds
+    /// that requests waited for it then.
     pub unserved: &'a BTreeMap<Arc<str>, f64>,
     /// Replica counts and zones that the policy decided, by model.
     pub decisions: &'a BTreeMap<Arc<str>, ReplicaDecision>,
--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -22,7 +22,7 @@
 /// Requests per second above which an adapter counts as in use.
 const ADAPTER_IN_USE_RATE: f64 = 0.02;
 
-/// Weight that a waiting request adds per second to the unserved requests of its model.
+/// Number of unserved requests that a waiting request adds to its model per second.
 const WAITING_WEIGHT_PER_SECOND: f64 = 1.0;
 
 /// Configuration of a planner, fixed when it is created.
@@ -57,7 +57,8 @@
 struct ServiceState {
     load_rate: LoadRateLimiter,
     store_loads: StoreConcurrency,
-    /// Requests that arrived for models while they had no replica, by model.
+    /// Requests that arrived for models while they had no reachable replica, plus the
+    /// seconds that requests waited for them then, by model.
     unserved: BTreeMap<Arc<str>, f64>,
 }
 
@@ -211,8 +212,9 @@
             })
     }
 
-    /// Adds the requests since the last step to the count of each model that has no
-    /// reachable replica, and drops the count of each model that has one.
+    /// Adds the requests since the last step, and the time that requests waited, to the
+    /// count of each model that has no reachable replica, and drops the count of each
+    /// model that has one.
     fn count_unserved(
         &self,
         service: &Arc<str>,
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -40,8 +40,9 @@
     /// Whether the runner accepts new work: neither its discovery entry nor its own
     /// signals say that it is draining.
     pub available: bool,
-    /// Whether the operators have evacuated the runner's zone, so that no new work is
-    /// sent there.
+    /// Whether operators evacuate the runner's zone: nothing is loaded on the runner, and
+    /// its replicas do not count as reachable, although they may serve until the
+    /// evacuation's deadline.
     pub evacuated: bool,
     /// Calls per second that the runner accepts from all nodes together; `None` if it has
     /// not recently advertised a limit.
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Returns whether requests may be sent to the runner: it is not draining and not in
-    /// an evacuated zone. Reachability is not considered.
+    /// Returns whether the planner may count on the runner for new requests: it is not
+    /// draining and not in an evacuated zone. Reachability is not considered.
     pub fn accepts_requests(&self) -> bool {
         self.available && !self.evacuated
     }
