--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -37,8 +37,8 @@
     pub waiting: u32,
     /// Priority of the most urgent recent request for the model; 0 is the most urgent.
     pub priority: u8,
-    /// Requests that arrived for the model since it last had a replica; 0 while it has
-    /// one.
+    /// Requests that arrived for the model since it last had a reachable replica, plus
+    /// the seconds that requests have waited for it since then; 0 while it has one.
     pub starved: f64,
     /// Number of requests that one runner processes at once.
     pub slots: u32,
