--- a/crates/domain/src/fence.rs
+++ b/crates/domain/src/fence.rs
@@ -24,7 +24,7 @@
 pub struct Epoch {
     /// Control log position up to which this keeper's orders take the log into account.
     pub log_floor: u64,
-    /// Number of takeovers of the runner so far.
+    /// Number of takeovers of the runner up to and including the one that began this epoch.
     pub term: u64,
     /// Number unique to the keeper's node, derived from its peer address. Orders epochs
     /// with equal terms.
@@ -50,7 +50,8 @@
     }
 }
 
-/// The fence of one order: orders with a lower fence than the engine has seen are refused.
+/// The fence of one order. An engine refuses an order whose fence is lower than the highest
+/// that it has seen.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/domain/src/name.rs
+++ b/crates/domain/src/name.rs
@@ -20,7 +20,9 @@
     #[error("name is longer than {MAXIMUM_NAME_LENGTH} bytes")]
     TooLong,
     /// The string contains this character, which is not one of `a-z A-Z 0-9 . _ : -`.
-    #[error("name holds the character {0:?}; letters, digits, '.', '_', ':' and '-' are allowed")]
+    #[error(
+        "name contains the character {0:?}; only letters, digits, '.', '_', ':' and '-' are allowed"
+    )]
     Character(char),
 }
 
--- a/crates/domain/src/runner.rs
+++ b/crates/domain/src/runner.rs
@@ -34,7 +34,7 @@
     Leaving,
 }
 
-/// One runner, as listed by the platform.
+/// One runner's entry in the platform's machine list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerRecord {
     /// Name of the runner, unique among all runners.
--- a/crates/domain/src/spec.rs
+++ b/crates/domain/src/spec.rs
@@ -90,15 +90,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectKind {
-    /// A [`ServiceSpec`].
+    /// A service, given by a [`ServiceSpec`].
     Service,
-    /// A [`PolicySpec`].
+    /// A policy, given by a [`PolicySpec`].
     Policy,
-    /// A [`ModelSpec`].
+    /// A model, given by a [`ModelSpec`].
     Model,
-    /// An [`AdapterSpec`].
+    /// An adapter of a model, given by an [`AdapterSpec`].
     Adapter,
-    /// A [`CustomerSpec`].
+    /// A customer, given by a [`CustomerSpec`].
     Customer,
 }
 
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Returns the kind with the name `text`, in singular or plural; `None` if there is none.
+    /// Returns the kind whose name, in singular or plural, is `text`; `None` if no kind has
+    /// this name.
     pub fn parse(text: &str) -> Option<Self> {
         let plural = |kind: Self| match kind {
             Self::Policy => "policies".to_owned(),
--- a/crates/domain/src/verdict.rs
+++ b/crates/domain/src/verdict.rs
@@ -1,11 +1,11 @@
-//! Verdicts: whether a request without a complete answer ran at a runner.
+//! Verdicts: whether a request without a complete answer may have run at a runner.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request that got no complete answer may have run at a runner. Ordered from
-/// the least to the most that may have happened.
+/// Whether a request that got no complete answer may have run at a runner. The verdicts are
+/// ordered: `NotRun` < `MayHaveRun` < `Ran`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Returns the verdict on a request that was sent twice, from the verdicts on the two
-    /// attempts: the one after which more may have happened.
+    /// Returns the verdict on a request that was sent twice, from the verdicts `self` and
+    /// `other` on the two attempts: the greater of the two.
     pub fn combined_with(self, other: Self) -> Self {
         self.max(other)
     }
