--- a/crates/catalog/src/allowed_regions.rs
+++ b/crates/catalog/src/allowed_regions.rs
@@ -17,16 +17,16 @@
             ([], []) => Self(None),
             (only, []) | ([], only) => Self(Some(only.to_vec())),
             (route_regions, tenant_regions) => {
-                let both = route_regions
+                let common_regions = route_regions
                     .iter()
                     .filter(|region| tenant_regions.contains(region));
-                Self(Some(both.cloned().collect()))
+                Self(Some(common_regions.cloned().collect()))
             }
         }
     }
 
-    /// Returns whether the request may be served in `region`. `None` stands for an unknown
-    /// region, which is allowed only if all regions are.
+    /// Returns whether the request may be served in `region`. An unknown region (`None`) is
+    /// allowed only if all regions are.
     pub fn includes(&self, region: Option<&Arc<str>>) -> bool {
         self.0
             .as_ref()
--- a/crates/catalog/src/dialect.rs
+++ b/crates/catalog/src/dialect.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{what}: {cause}")]
 pub struct DialectError {
-    /// Name of the data that was read, for example an entry's key.
+    /// Name of the data that was parsed, for example `report` or `entry of runner i-7`.
     pub what: String,
-    /// Description of the fault in the data.
+    /// Why the data could not be translated.
     pub cause: String,
 }
 
@@ -28,8 +28,8 @@
     Configuration(Box<Configuration>),
     /// The entry by which a runner announces itself.
     Runner(Box<Runner>),
-    /// Request by the operators to evacuate this zone: nothing more may be sent to its
-    /// runners.
+    /// The operators' request to evacuate the zone of this name: no more requests may be sent
+    /// to its runners.
     Evacuation(Arc<str>),
     /// An object of any other type, which the gateway ignores.
     Other,
@@ -62,7 +62,7 @@
     /// Returns the headers of an answer that the gateway itself gives to the request with
     /// the id `request_id`.
     fn own_answer_headers(&self, request_id: Option<&str>) -> HeaderMap;
-    /// Builds the HTTP request for the report of `runner`, given by its name.
+    /// Builds the HTTP request that asks the runner with the name `runner` for its report.
     fn report_call(&self, runner: &str) -> Request<Bytes>;
     /// Parses a runner's report from its HTTP answer.
     fn read_report(&self, status: StatusCode, body: &[u8]) -> Result<Report, DialectError>;
@@ -86,12 +86,13 @@
     ) -> Result<StoreAnswer, StoreError>;
     /// Parses the value that the store holds under `key`.
     fn read_object(&self, key: &str, value: &[u8]) -> Result<StoredObject, DialectError>;
-    /// Returns the name of the runner whose entry has the key `key`; `None` if `key` belongs
-    /// to something else.
+    /// Returns the name of the runner whose entry has the key `key`; `None` if `key` is not
+    /// the key of a runner's entry.
     fn runner_name_in_key<'a>(&self, key: &'a str) -> Option<&'a str>;
-    /// Returns the zone that the operators evacuate by writing `key`; `None` if `key` belongs
-    /// to something else.
+    /// Returns the zone that the operators evacuate by writing `key`; `None` if `key` is not
+    /// the key of an evacuation.
     fn evacuated_zone_in_key<'a>(&self, key: &'a str) -> Option<&'a str>;
-    /// Returns the path of the HTTP requests by which the platform checks readiness.
+    /// Returns the path of the HTTP requests by which the platform checks whether the gateway
+    /// is ready.
     fn readiness_path(&self) -> &str;
 }
--- a/crates/catalog/src/limit.rs
+++ b/crates/catalog/src/limit.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Thousandths in one request.
+/// Factor from requests per second to the unit in which [`RunnerLimit`] stores them.
 const THOUSANDTHS: f64 = 1000.0;
 
 /// Rate limit of a runner for all nodes together, in thousandths of a request per second.
--- a/crates/catalog/src/order.rs
+++ b/crates/catalog/src/order.rs
@@ -83,8 +83,8 @@
     /// Fencing token of the holder's lease. Runners refuse an order whose token is lower
     /// than one that they have seen.
     pub fencing_token: u64,
-    /// Number of orders that the runner has accepted so far, as the node knows it. The
-    /// runner refuses the order if the number differs.
+    /// Number of orders that the runner has accepted since its start, according to the node's
+    /// view. The runner refuses the order if its own count differs.
     pub expected_sequence: u64,
 }
 
--- a/crates/catalog/src/request.rs
+++ b/crates/catalog/src/request.rs
@@ -17,9 +17,11 @@
 /// Facts from the head of a client's request, independent of the platform's header names.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Id that the client has given the request; each retry by the client has its own.
+    /// Id that the client has given the request, different for each of its retries; `None` if
+    /// the request carries none.
     pub request_id: Option<String>,
-    /// Time for which the client waits for the answer, counted from the request's arrival.
+    /// Time for which the client waits for the answer, counted from the request's arrival;
+    /// `None` if the request does not state it.
     pub deadline: Option<Duration>,
     /// The model that the request asks for; `None` for requests to plain services.
     pub model: Option<ModelReference>,
@@ -27,10 +29,11 @@
     pub prompt_tokens: u64,
     /// Maximum number of tokens of the answer; 0 if the request names none.
     pub answer_tokens: u64,
-    /// Ids of the leading prompt parts, in order, that other requests may share; the
-    /// request's own last part is left out.
+    /// Ids of the parts of the prompt except the last, in order. Other requests may have
+    /// prompts that begin with the same parts.
     pub shared_prefix: Vec<u64>,
-    /// Id of the last event that the client has received, if it resumes a stream.
+    /// Id of the last event that the client has received, if it resumes a stream; `None` for
+    /// other requests.
     pub last_event_id: Option<String>,
     /// Credential of the caller; `None` if the request carries none.
     pub credential: Option<Credential>,
@@ -47,8 +50,8 @@
     pub remaining: Option<Duration>,
     /// Priority of the request; `None` if the runner does not use priorities.
     pub priority: Option<u8>,
-    /// Id of the event after which the runner resumes the stream, in place of the client's
-    /// `last_event_id`.
+    /// Id of the event after which the runner resumes the stream, which replaces the id in the
+    /// client's request; `None` to forward the client's id, if any, unchanged.
     pub last_event_id: Option<String>,
     /// Name of the caller's tenant; `None` for a request that needs no tenant.
     pub tenant: Option<Arc<str>>,
--- a/crates/catalog/src/routes.rs
+++ b/crates/catalog/src/routes.rs
@@ -49,7 +49,7 @@
         self.tenants.credential_conflicts()
     }
 
-    /// Returns the tenant with this name.
+    /// Returns the tenant with this name; `None` if the configuration has none.
     pub fn tenant_named(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.tenants.named(name)
     }
@@ -59,8 +59,9 @@
         requires_tenant(&self.configuration, route)
     }
 
-    /// Returns the route of `host` with the longest path prefix that matches `path`. Hosts
-    /// are compared without regard to case, first with and then without the port.
+    /// Returns the route of `host` with the longest path prefix that matches `path`; `None` if
+    /// no route matches. Hosts are compared without regard to case, first with and then
+    /// without the port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
         let prefixes = self
--- a/crates/catalog/src/runner.rs
+++ b/crates/catalog/src/runner.rs
@@ -60,7 +60,8 @@
     /// Time until the runner exits, counted from the writing of the entry; `None` if the
     /// runner does not state it.
     pub remaining: Option<Duration>,
-    /// Time for which the runner remains cold, counted from the writing of the entry.
+    /// Time for which the runner remains cold (recently started, with a limit on its request
+    /// rate), counted from the writing of the entry; zero if it is not cold.
     pub warming: Duration,
     /// Sequence number of the heartbeat by which the runner wrote the entry.
     pub heartbeat: u64,
--- a/crates/catalog/src/settings.rs
+++ b/crates/catalog/src/settings.rs
@@ -28,7 +28,7 @@
     pub minimum_lease: Duration,
     /// Resource limits of the process and its machine.
     pub limits: MachineLimits,
-    /// Bounds that the site guarantees or expects.
+    /// Bounds on times and rates that the platform guarantees or expects.
     pub bounds: Bounds,
 }
 
@@ -55,7 +55,7 @@
     pub tolerance: f64,
 }
 
-/// Bounds on times and rates that the site guarantees or expects.
+/// Bounds on times and rates that the platform guarantees to a gateway or expects from it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Time from the platform's request to stop until it kills the process.
@@ -68,7 +68,8 @@
     pub retry_ratio: f64,
     /// Length of the window in which retries are counted.
     pub retry_window: Duration,
-    /// Retries that all nodes together may make in a window beyond `retry_ratio`.
+    /// Number of retries that all nodes together may make in a window in addition to
+    /// `retry_ratio` times the requests.
     pub retry_extra: f64,
     /// Duration of the lease that gives one node the exclusive right to order a runner.
     pub lease_duration: Duration,
@@ -97,6 +98,7 @@
 pub struct ColdBounds {
     /// Factor on the request rate of the cold runner's service.
     pub overage: f64,
-    /// Requests per second in addition to the rate times `overage`.
+    /// Requests per second that a cold runner may get in addition to its service's rate times
+    /// `overage`.
     pub tolerance: f64,
 }
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -8,7 +8,7 @@
 
 use crate::Revision;
 
-/// A key of the store with its value.
+/// An entry of the store: a key, its value and the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// Key of the item, unique in the store.
--- a/crates/catalog/src/tenants.rs
+++ b/crates/catalog/src/tenants.rs
@@ -107,7 +107,7 @@
         &self.credential_conflicts
     }
 
-    /// Returns the tenant with this name.
+    /// Returns the tenant with this name; `None` if the configuration has none.
     pub(crate) fn named(&self, name: &str) -> Option<&Arc<Tenant>> {
         self.by_name.get(name)
     }
