--- a/crates/callers/benches/admission.rs
+++ b/crates/callers/benches/admission.rs
@@ -86,7 +86,7 @@
         let start = Instant::now();
         let mut ledger = QuotaLedger::new(BOUNDS.window);
         let mut owner = QuotaOwner::new(start, Duration::from_secs(2));
-        let share = VisibleNodes {
+        let visible_nodes = VisibleNodes {
             visible: NODES,
             total: NODES,
         };
@@ -111,7 +111,7 @@
                 charge_once_key: None,
                 other_owner_asked_ms: ledger.record_question(&subject, &owner_name, now),
             };
-            black_box(owner.answer(&request, limit, share, now));
+            black_box(owner.answer(&request, limit, visible_nodes, now));
         }
         let micros = start.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64;
         println!(
--- a/crates/callers/src/access.rs
+++ b/crates/callers/src/access.rs
@@ -8,11 +8,12 @@
 /// Maximum relative difference between the clock rates of two machines. The error of
 /// crystal oscillators is far below a thousandth.
 const CLOCK_RATE_ERROR: f64 = 0.001;
-/// Maximum rounding error of a node's staleness: ages are sent in whole milliseconds, over
-/// at most six hops from the store.
+/// Maximum rounding error of the staleness of a node's view: it is sent in whole
+/// milliseconds, over at most six hops from the store.
 const ROUNDING_ERROR: Duration = Duration::from_millis(6);
 
-/// Bounds on the staleness of a node's view of the configuration, by decision.
+/// Bounds on the staleness of a node's view of the configuration, one for each decision that
+/// depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccessBounds {
     /// From this staleness on, no request is served under any credential; `None` if a node
@@ -24,17 +25,17 @@
 }
 
 impl AccessBounds {
-    /// Derives the bounds from those that the site guarantees. A credential revoked at time
-    /// `t` must not be served after `t + revocation`. Therefore, a node whose view was
-    /// complete at time `c` refuses from `c + revocation` on, or earlier by the maximum
+    /// Derives the bounds from those of the site. A credential revoked at time
+    /// `t` must not be served after `t + revocation_time`. Therefore, a node whose view was
+    /// complete at time `c` refuses from `c + revocation_time` on, or earlier by the maximum
     /// error of its staleness.
     pub fn new(bounds: &Bounds) -> Self {
-        let without_error = |bound: Duration| {
+        let less_maximum_error = |bound: Duration| {
             bound.saturating_sub(bound.mul_f64(CLOCK_RATE_ERROR) + ROUNDING_ERROR)
         };
         Self {
-            maximum_serving_staleness: bounds.revocation_time.map(without_error),
-            maximum_denial_staleness: without_error(bounds.configuration_apply_time),
+            maximum_serving_staleness: bounds.revocation_time.map(less_maximum_error),
+            maximum_denial_staleness: less_maximum_error(bounds.configuration_apply_time),
         }
     }
 }
--- a/crates/callers/src/bucket.rs
+++ b/crates/callers/src/bucket.rs
@@ -9,17 +9,19 @@
 use crate::crashes::{SECONDS_PER_FORGIVEN_UNIT, TOLERATED_WEIGHT};
 use barleyspar_catalog::{Quota, QuotaBounds, QuotaUnit, RequestFacts, RunnerLimit};
 
-/// Fraction of the guaranteed overage and tolerance that an owner grants. The rest covers
+/// Fraction of the guaranteed overage and tolerance that a limit owner grants. The rest covers
 /// what two owners may grant at the same time while nodes receive from different peers.
 const GRANTED_FRACTION: f64 = 0.5;
 
 /// Minimum rate of calls to a runner, per second, whatever limit it advertises. Without any
 /// call, no node would learn that the runner accepts more again.
 const MINIMUM_CALL_RATE: f64 = 0.1;
-/// Calls that may be sent to a runner at once: its rate times this time, in seconds, plus
-/// [`CALL_BURST`]. Calls arrive unevenly and would be delayed if they were spaced evenly.
+/// Time in seconds whose calls, at a runner's rate, may be sent to the runner at once, in
+/// addition to [`CALL_BURST`]. Calls arrive unevenly and would be delayed if they were spaced
+/// evenly.
 const CALL_BURST_SECONDS: f64 = 1.0;
-/// Calls that may be sent to a runner at once in addition to [`CALL_BURST_SECONDS`].
+/// Number of calls that may be sent to a runner at once, whatever its rate, in addition to
+/// those of [`CALL_BURST_SECONDS`].
 const CALL_BURST: f64 = 2.0;
 
 /// Rate and depth of a token bucket.
@@ -90,6 +92,8 @@
 /// A token bucket. Its limit is an argument of each call, since it may change.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
+    /// Number of units in the bucket at `updated_at`; negative after a request that cost more
+    /// than the bucket held.
     level: f64,
     updated_at: Instant,
 }
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Takes `cost` units from the bucket. If it holds too few, takes nothing and returns the
-    /// time until it will hold enough.
+    /// Takes `cost` units from the bucket. If it holds too few, takes nothing and returns, as
+    /// the error, the time until it will hold enough.
     pub fn try_take(&mut self, cost: f64, limit: QuotaLimit, now: Instant) -> Result<(), Duration> {
         self.refill(limit, now);
         let missing = cost.min(limit.maximum_required) - self.level;
--- a/crates/callers/src/fingerprint.rs
+++ b/crates/callers/src/fingerprint.rs
@@ -12,7 +12,8 @@
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request to `host` for `target` (path and query).
+    /// Returns the fingerprint of a request with `body` to `host` for `target` (path and
+    /// query), under the credential `caller`; `None` for a request without a credential.
     pub fn of(host: &str, target: &str, caller: Option<&Credential>, body: &[u8]) -> Self {
         Self(rendezvous_weight(&(host, target, caller), body))
     }
--- a/crates/callers/src/ledger.rs
+++ b/crates/callers/src/ledger.rs
@@ -11,13 +11,14 @@
 /// Time for which units granted to a request that did not run may be used for another one.
 const UNUSED_KEPT_FOR: Duration = Duration::from_secs(1);
 
-/// Time for which a reserve is valid. It matches the time over which the owner counts the
-/// requests of a node, so that the reserves of all nodes add up to the whole limit.
+/// Time for which a reserve is valid. It is about the time over which the limit owner counts
+/// the requests of a node, so that the reserves of all nodes add up to the whole limit.
 const RESERVE_VALID_FOR: Duration = Duration::from_secs(3);
 
+/// A node's record on one limit.
 #[derive(Debug, Default)]
 struct Entry {
-    /// The owner that was asked last.
+    /// Name of the owner that was asked last.
     owner: Option<Arc<str>>,
     /// Time of the last request to `owner`.
     last_asked: Option<Instant>,
@@ -64,8 +65,8 @@
         self.entries.entry(subject.clone()).or_default()
     }
 
-    /// Records that `owner` is asked about `subject`. Returns the time since this node last
-    /// asked the previous owner, in milliseconds; `None` if it has asked no other owner
+    /// Records that this node asks `owner` about `subject` at `now`. Returns the time since it
+    /// last asked the previous owner, in milliseconds; `None` if it has asked no other owner
     /// within the window.
     pub fn record_question(
         &mut self,
@@ -88,8 +89,8 @@
         (ago < window).then_some(ago.as_millis() as u32)
     }
 
-    /// Stores the units that may be used for `subject` without asking, as its owner has
-    /// granted them.
+    /// Stores the number of units for `subject` that this node may use without asking while
+    /// the limit owner does not answer. It replaces the previous reserve.
     pub fn set_reserve(&mut self, subject: &Subject, reserve: u64, now: Instant) {
         let entry = self.entry(subject);
         entry.reserve = reserve;
@@ -113,8 +114,8 @@
         draw * (cost as f64) < remainder as f64
     }
 
-    /// Returns `cost` granted but unused units to the ledger, for use by another request on
-    /// `subject`.
+    /// Records that `cost` units granted for `subject` were not used. Another request may take
+    /// them by [`Self::take_unused`] for a short time.
     pub fn give_back(&mut self, subject: &Subject, cost: u64, now: Instant) {
         let entry = self.entry(subject);
         if entry.unused_until.is_none_or(|until| until <= now) {
--- a/crates/callers/src/messages.rs
+++ b/crates/callers/src/messages.rs
@@ -22,7 +22,8 @@
 }
 
 impl Subject {
-    /// Returns the tenant's name, the runner's id, or the request's fingerprint.
+    /// Returns the tenant's name, the runner's incarnation id or the request's fingerprint,
+    /// which identifies the subject among those of its kind.
     pub fn name(&self) -> Arc<str> {
         match self {
             Self::Tenant(name) | Self::Runner(name) => name.clone(),
@@ -44,7 +45,7 @@
     /// Rate limit that the runner advertises; `None` for other subjects. A tenant's quota is
     /// read from the configuration.
     pub named: Option<RunnerLimit>,
-    /// Number of units that are asked for.
+    /// Number of units that the node asks for.
     pub cost: u64,
     /// Key for which the units are charged only once, whichever nodes ask: the id of the
     /// crashed runner. `None` to charge each question.
@@ -57,7 +58,7 @@
 /// Answer of a limit owner to a [`QuotaRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaAnswer {
-    /// The units are granted.
+    /// The units are granted and charged.
     Granted {
         /// Number of units that the node may use without asking while the owner does not
         /// answer.
@@ -65,7 +66,7 @@
     },
     /// The limit is reached; nothing is charged.
     Denied {
-        /// Time until the units would be granted, in milliseconds.
+        /// Time until the units would be granted if no others were, in milliseconds.
         wait_ms: u32,
         /// Number of units that the node may use without asking while the owner does not
         /// answer.
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -19,7 +19,8 @@
 
 /// Half-life of the weight of the units that a node asked for.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// Fraction of all units asked for below which the record on a node is dropped.
+/// An account drops its record on a node that asked for at most this fraction of all units
+/// recently asked for.
 const NEGLIGIBLE_FRACTION: f64 = 1e-4;
 
 /// Factor on the limit that a group of at most half of all nodes grants, applied to the
@@ -47,7 +48,7 @@
     }
 }
 
-/// Exponentially decaying sum of the units asked for.
+/// Exponentially decaying sum of the units that nodes asked for.
 #[derive(Debug, Clone, Copy)]
 struct DecayingUnits {
     /// Sum at `updated_at`.
@@ -71,10 +72,11 @@
 /// Number of accounts (about 2 MB) from which on accounts of requests are dropped after
 /// [`REQUEST_KEPT_AT_LEAST`].
 const MANY_ACCOUNTS: usize = 10_000;
-/// Time after its last use for which the account of a request is kept when there are many.
+/// Time after its last use for which the account of a request is kept when there are at least
+/// [`MANY_ACCOUNTS`].
 const REQUEST_KEPT_AT_LEAST: Duration = Duration::from_secs(60);
-/// Time after its last use for which the account of a request is kept otherwise: until all
-/// of its accumulated crash weight has decayed.
+/// Time after its last use for which the account of a request is kept when there are fewer
+/// than [`MANY_ACCOUNTS`]: until all of its accumulated crash weight has decayed.
 const REQUEST_KEPT_FOR: Duration =
     Duration::from_secs((TOLERATED_WEIGHT * SECONDS_PER_FORGIVEN_UNIT) as u64);
 
@@ -82,7 +84,7 @@
 #[derive(Debug)]
 struct Account {
     bucket: TokenBucket,
-    /// Units that were charged once, by the key that they were charged for.
+    /// Units that were charged for each [`QuotaRequest::charge_once_key`].
     charged_once: HashMap<Arc<str>, u64>,
     /// Time at which this owner last learned that a node had asked another owner, or the
     /// account's start. The bucket counts all use since then.
@@ -120,22 +122,23 @@
         }
     }
 
-    /// Charges the units of `request` to the bucket. If it holds too few, charges nothing and
-    /// returns the time until it will hold enough.
+    /// Charges the units of `request` to the bucket, or those by which they exceed what was
+    /// charged for its `charge_once_key`. If the bucket holds too few, charges nothing and
+    /// returns, as the error, the time until it will hold enough.
     fn try_charge(
         &mut self,
         request: &QuotaRequest,
         limit: QuotaLimit,
         now: Instant,
     ) -> Result<(), Duration> {
-        let Some(once_for) = &request.charge_once_key else {
+        let Some(key) = &request.charge_once_key else {
             return self.bucket.try_take(request.cost as f64, limit, now);
         };
-        let charged = self.charged_once.get(once_for).copied().unwrap_or(0);
+        let charged = self.charged_once.get(key).copied().unwrap_or(0);
         if request.cost > charged {
             self.bucket
                 .try_take((request.cost - charged) as f64, limit, now)?;
-            self.charged_once.insert(once_for.clone(), request.cost);
+            self.charged_once.insert(key.clone(), request.cost);
         }
         Ok(())
     }
@@ -168,7 +171,7 @@
 }
 
 impl QuotaOwner {
-    /// Returns an owner on a node that started at `started` and whose failure other nodes
+    /// Returns a limit owner on a node that started at `started` and whose failure other nodes
     /// notice within `failure_detection_time`. It does not know what was granted before it
     /// started. Therefore, the buckets of tenants are empty at `started`.
     pub fn new(started: Instant, failure_detection_time: Duration) -> Self {
@@ -191,7 +194,7 @@
     }
 
     /// Drops the accounts of requests that were not used for [`REQUEST_KEPT_AT_LEAST`], if
-    /// there are [`MANY_ACCOUNTS`].
+    /// there are at least [`MANY_ACCOUNTS`] accounts.
     fn drop_old_requests(&mut self, now: Instant) {
         if self.accounts.len() >= MANY_ACCOUNTS {
             self.accounts.retain(|subject, account| {
@@ -201,14 +204,14 @@
         }
     }
 
-    /// Charges `request` to its account and returns the answer. `limit` is the limit over all
-    /// nodes, of which this node grants the fraction that follows from `share`, the nodes that
-    /// it can see.
+    /// Charges `request` to the account of its subject and returns the answer. `limit` is the
+    /// limit over all nodes. This node grants only the fraction of it that follows from
+    /// `visible_nodes`, except for the crashes of a request.
     pub fn answer(
         &mut self,
         request: &QuotaRequest,
         limit: QuotaLimit,
-        share: VisibleNodes,
+        visible_nodes: VisibleNodes,
         now: Instant,
     ) -> QuotaAnswer {
         if matches!(request.subject, Subject::Request(_)) {
@@ -225,15 +228,15 @@
             Subject::Request(_) => (TokenBucket::full(limit, now), limit),
             _ => (
                 TokenBucket::empty(started),
-                limit.scaled(share.limit_fraction()),
+                limit.scaled(visible_nodes.limit_fraction()),
             ),
         };
         let account = self
             .accounts
             .entry(request.subject.clone())
             .or_insert_with(|| Account::new(bucket, started));
-        if let Some(elsewhere_ms) = request.other_owner_asked_ms {
-            let ago = Duration::from_millis(elsewhere_ms.into());
+        if let Some(asked_ms) = request.other_owner_asked_ms {
+            let ago = Duration::from_millis(asked_ms.into());
             account.note_other_owner(now.checked_sub(ago).unwrap_or(started), now);
         }
         let cost = request.cost as f64;
--- a/crates/callers/src/quarantine.rs
+++ b/crates/callers/src/quarantine.rs
@@ -15,8 +15,7 @@
 /// Number of the other requests that each message contains, in rotation, so that a node that
 /// has just started receives all of them.
 const OTHERS_PER_MESSAGE: usize = 8;
-/// Minimum time by which a received end of a quarantine must be after the known end to
-/// replace it. Nodes relay the updates that they receive, and each relay delays the end a
+/// Minimum time by which a new end of a quarantine must be after the known end to replace it. Nodes relay the updates that they receive, and each relay delays the end a
 /// little.
 const MINIMUM_EXTENSION: Duration = Duration::from_secs(30);
 
@@ -61,8 +60,8 @@
     }
 
     fn remove_first_to_end(&mut self) {
-        let first = self.entries.iter().min_by_key(|(_, entry)| entry.until);
-        if let Some(request) = first.map(|(request, _)| *request) {
+        let first_to_end = self.entries.iter().min_by_key(|(_, entry)| entry.until);
+        if let Some(request) = first_to_end.map(|(request, _)| *request) {
             self.entries.remove(&request);
         }
     }
@@ -91,7 +90,8 @@
         (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Returns the updates for the message to other nodes with the number `round`.
+    /// Returns the updates for the message to other nodes with the number `round`: the newest
+    /// quarantines, and others in rotation by `round`.
     pub fn updates_for_round(&self, round: usize, now: Instant) -> Vec<QuarantineUpdate> {
         let mut entries: Vec<(Fingerprint, Entry)> = self
             .entries
--- a/crates/callers/src/served.rs
+++ b/crates/callers/src/served.rs
@@ -6,7 +6,7 @@
 
 use crate::Fingerprint;
 
-/// Number of answers that are recorded, which take 64 KB.
+/// Maximum number of recorded answers, which take 64 KB.
 const MAXIMUM_ENTRIES: usize = 1024;
 /// Time after a successful answer for which a request is considered harmless. It is limited
 /// because the request may crash the next version of a model.
@@ -16,15 +16,16 @@
 #[derive(Debug, Default)]
 pub struct RecentlyServed {
     latest: HashMap<Fingerprint, Answer>,
-    /// The recorded answers from the oldest to the newest: request and number of the answer.
+    /// Request and number of each recorded answer, from the oldest to the newest.
     order: VecDeque<(Fingerprint, u64)>,
-    /// Number of answers so far.
+    /// Number of all answers added, including those that are not recorded any more.
     answers: u64,
 }
 
 /// The most recent answer to a request.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
+    /// Number of the answer, counted by [`RecentlyServed::answers`].
     number: u64,
     at: Instant,
 }
--- a/crates/callers/tests/access.rs
+++ b/crates/callers/tests/access.rs
@@ -59,16 +59,16 @@
 }
 
 /// Returns the name of the tenant under which a request with `secret` is served by a node
-/// whose view has the staleness `age`, or the reason for the denial.
+/// whose view has this `staleness`, or the reason for the denial.
 fn decide(
     secret: Option<&str>,
-    age: Option<Duration>,
+    staleness: Option<Duration>,
     bounds: &AccessBounds,
 ) -> Result<Option<Arc<str>>, Denial> {
     let table = table(2);
     let view = ConfigurationView {
         table: &table,
-        staleness: age,
+        staleness,
     };
     let credential = secret.map(|secret| Credential::of(secret.as_bytes()));
     let tenant = authorize(view, &route(false), credential.as_ref(), bounds)?;
@@ -92,10 +92,10 @@
 fn an_unknown_credential_is_rejected_only_by_a_fresh_view() {
     let fresh = CHANGE - Duration::from_millis(1);
     for bounds in [&BOUNDS, &LENIENT] {
-        let denied = |age| decide(Some("secret-9"), age, bounds);
-        assert_eq!(denied(Some(fresh)), Err(Denial::Unknown));
-        assert_eq!(denied(Some(CHANGE)), Err(Denial::OldKnowledge));
-        assert_eq!(denied(None), Err(Denial::OldKnowledge));
+        let decision = |staleness| decide(Some("secret-9"), staleness, bounds);
+        assert_eq!(decision(Some(fresh)), Err(Denial::Unknown));
+        assert_eq!(decision(Some(CHANGE)), Err(Denial::OldKnowledge));
+        assert_eq!(decision(None), Err(Denial::OldKnowledge));
     }
     let none = decide(None, Some(fresh), &BOUNDS);
     assert_eq!(none, Err(Denial::Unknown));
--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -22,35 +22,33 @@
 struct Owner {
     owner: QuotaOwner,
     now: Instant,
-    share: VisibleNodes,
+    visible_nodes: VisibleNodes,
 }
 
 impl Owner {
-    fn new(heard: usize, nodes: usize) -> Self {
+    fn new(visible: usize, total: usize) -> Self {
         let now = Instant::now();
         Self {
             owner: QuotaOwner::new(now, FAILURE_DETECTION_TIME),
             now,
-            share: VisibleNodes {
-                visible: heard,
-                total: nodes,
-            },
+            visible_nodes: VisibleNodes { visible, total },
         }
     }
 
     /// Counts a crash of `runner` at which the request `subject` had this progress. Returns
     /// whether the request is now considered to cause crashes.
     fn crashed(&mut self, subject: Fingerprint, runner: &str, progress: Progress) -> bool {
-        self.crashed_elsewhere(subject, runner, progress, None)
+        self.crashed_after_other_owner(subject, runner, progress, None)
     }
 
-    /// Like [`Self::crashed`], asked by a node that asked another owner `elsewhere_ms` ago.
-    fn crashed_elsewhere(
+    /// Like [`Self::crashed`], reported by a node that asked another owner
+    /// `other_owner_asked_ms` milliseconds ago; `None` if it asked no other owner.
+    fn crashed_after_other_owner(
         &mut self,
         subject: Fingerprint,
         runner: &str,
         progress: Progress,
-        elsewhere_ms: Option<u32>,
+        other_owner_asked_ms: Option<u32>,
     ) -> bool {
         let request = QuotaRequest {
             number: 1,
@@ -59,10 +57,12 @@
             named: None,
             cost: progress.weight(),
             charge_once_key: Some(Arc::from(runner)),
-            other_owner_asked_ms: elsewhere_ms,
+            other_owner_asked_ms,
         };
         let limit = QuotaLimit::of_crashes();
-        let answer = self.owner.answer(&request, limit, self.share, self.now);
+        let answer = self
+            .owner
+            .answer(&request, limit, self.visible_nodes, self.now);
         matches!(answer, QuotaAnswer::Denied { .. })
     }
 }
@@ -131,10 +131,15 @@
 fn a_crash_that_another_owner_counted_recently_is_not_forgiven() {
     let mut owner = Owner::new(5, 6);
     assert!(!owner.crashed(request(2), "r2", Progress::Started));
-    let other_owner_ms = Some(400);
-    assert!(!owner.crashed_elsewhere(request(1), "r0", Progress::Queued, None));
+    let other_owner_asked_ms = Some(400);
+    assert!(!owner.crashed_after_other_owner(request(1), "r0", Progress::Queued, None));
     owner.now += SECOND;
-    assert!(owner.crashed_elsewhere(request(1), "r2", Progress::Started, other_owner_ms));
+    assert!(owner.crashed_after_other_owner(
+        request(1),
+        "r2",
+        Progress::Started,
+        other_owner_asked_ms
+    ));
 }
 
 #[test]
--- a/crates/callers/tests/fleet.rs
+++ b/crates/callers/tests/fleet.rs
@@ -58,6 +58,7 @@
 struct Node {
     ledger: QuotaLedger,
     owner: QuotaOwner,
+    /// Bucket of the node's equal share of the limit.
     share: TokenBucket,
 }
 
@@ -66,7 +67,8 @@
     nodes: Vec<Node>,
     start: Instant,
     now: Instant,
-    numbers: u64,
+    /// Number of the last question to a limit owner.
+    question: u64,
 }
 
 /// Granted requests: time and cost of each.
@@ -85,7 +87,7 @@
             nodes: (0..count).map(node).collect(),
             start,
             now: start,
-            numbers: 0,
+            question: 0,
         }
     }
 
@@ -142,13 +144,13 @@
 
     fn restart_all(&mut self) {
         let count = self.nodes.len();
-        let (start, now, numbers) = (self.start, self.now, self.numbers);
+        let (start, now, question) = (self.start, self.now, self.question);
         *self = Self::new(count, self.fault);
         for node in &mut self.nodes {
             node.owner = QuotaOwner::new(now, FAILURE_DETECTION_TIME);
             node.share = TokenBucket::empty(now);
         }
-        (self.start, self.now, self.numbers) = (start, now, numbers);
+        (self.start, self.now, self.question) = (start, now, question);
     }
 
     /// Returns whether a request of `cost` at `node` is granted, decided by limit owners.
@@ -157,35 +159,40 @@
         let (now, limit) = (self.now, self.limit());
         let owner = self.visible_nodes(node)[0];
         let owner_name: Arc<str> = format!("node-{owner}").into();
-        let elsewhere_ms = self.nodes[node]
-            .ledger
-            .record_question(&tenant, &owner_name, now);
-        self.numbers += 1;
+        let other_owner_asked_ms =
+            self.nodes[node]
+                .ledger
+                .record_question(&tenant, &owner_name, now);
+        self.question += 1;
         let request = QuotaRequest {
-            number: self.numbers,
+            number: self.question,
             node: format!("node-{node}").into(),
             subject: tenant.clone(),
             named: None,
             cost,
             charge_once_key: None,
-            other_owner_asked_ms: elsewhere_ms,
+            other_owner_asked_ms,
         };
         let reachable = owner == node || (self.is_connected(node) && self.is_connected(owner));
-        let share = VisibleNodes {
+        let seen_by_owner = VisibleNodes {
             visible: self.visible_nodes(owner).len(),
             total: self.nodes.len(),
         };
         if !reachable || self.visible_nodes(owner)[0] != owner {
-            let draw = (self.numbers * 7919 % 1000) as f64 / 1000.0;
+            let draw = (self.question * 7919 % 1000) as f64 / 1000.0;
             return self.nodes[node]
                 .ledger
                 .take_reserve(&tenant, cost, draw, now);
         }
-        let (granted, reserve) = match self.nodes[owner].owner.answer(&request, limit, share, now) {
-            QuotaAnswer::Granted { reserve } => (true, reserve),
-            QuotaAnswer::Denied { reserve, .. } => (false, reserve),
-            QuotaAnswer::NotOwner => unreachable!("an owner never returns this itself"),
-        };
+        let (granted, reserve) =
+            match self.nodes[owner]
+                .owner
+                .answer(&request, limit, seen_by_owner, now)
+            {
+                QuotaAnswer::Granted { reserve } => (true, reserve),
+                QuotaAnswer::Denied { reserve, .. } => (false, reserve),
+                QuotaAnswer::NotOwner => unreachable!("an owner never returns this itself"),
+            };
         self.nodes[node].ledger.set_reserve(&tenant, reserve, now);
         granted
     }
