--- a/crates/domain/src/name.rs
+++ b/crates/domain/src/name.rs
@@ -16,7 +16,7 @@
     /// The string is empty.
     #[error("name is empty")]
     Empty,
-    /// The string is longer than [`MAXIMUM_NAME_LENGTH`] bytes.
+    /// The string is longer than `MAXIMUM_NAME_LENGTH` (128) bytes.
     #[error("name is longer than {MAXIMUM_NAME_LENGTH} bytes")]
     TooLong,
     /// The string contains this character, which is not one of `a-z A-Z 0-9 . _ : -`.
--- a/crates/domain/src/spec.rs
+++ b/crates/domain/src/spec.rs
@@ -25,8 +25,8 @@
     pub name: ServiceName,
     /// Type of the service's runners.
     pub kind: ServiceKind,
-    /// For plain services: path prefixes of requests that may run more than once, whatever
-    /// their method. `GET`, `HEAD` and `OPTIONS` requests may always run more than once.
+    /// For plain services: path prefixes of requests that may run more than once, with
+    /// any method. `GET`, `HEAD` and `OPTIONS` requests may always run more than once.
     #[serde(default)]
     pub repeatable_paths: Vec<String>,
 }
@@ -39,7 +39,7 @@
     pub name: ModelName,
     /// The service on whose runners the model may be loaded.
     pub service: ServiceName,
-    /// Version of the weights.
+    /// Version of the weights, as the operators name it.
     pub version: String,
     /// Accelerator memory that the loaded model occupies, in bytes.
     pub memory_bytes: u64,
@@ -56,7 +56,7 @@
     pub name: AdapterName,
     /// The base model, which must be loaded on the same runner.
     pub base: ModelName,
-    /// Version of the weights.
+    /// Version of the weights, as the operators name it.
     pub version: String,
     /// Accelerator memory that the adapter occupies in addition to its base model, in bytes.
     pub memory_bytes: u64,
@@ -161,15 +161,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectSpec {
-    /// Specification of a service.
+    /// An object of the kind [`ObjectKind::Service`].
     Service(ServiceSpec),
-    /// Specification of a policy.
+    /// An object of the kind [`ObjectKind::Policy`].
     Policy(PolicySpec),
-    /// Specification of a model.
+    /// An object of the kind [`ObjectKind::Model`].
     Model(ModelSpec),
-    /// Specification of an adapter.
+    /// An object of the kind [`ObjectKind::Adapter`].
     Adapter(AdapterSpec),
-    /// Specification of a customer.
+    /// An object of the kind [`ObjectKind::Customer`].
     Customer(CustomerSpec),
 }
 
