--- a/crates/catalog/src/request.rs
+++ b/crates/catalog/src/request.rs
@@ -8,7 +8,7 @@
 /// Names a model and, optionally, one of its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ModelReference {
-    /// Name of the model.
+    /// Name of the model, as the caller asks for it.
     pub model: Arc<str>,
     /// Name of the adapter; `None` for the model alone.
     pub adapter: Option<Arc<str>>,
--- a/crates/catalog/src/revision.rs
+++ b/crates/catalog/src/revision.rs
@@ -10,7 +10,7 @@
 ///
 /// A store that is restored from a backup begins a new era: it reuses the numbers that it
 /// assigned after the backup was made. Any revision of a later era is greater than all
-/// revisions of earlier eras, whatever its number.
+/// revisions of earlier eras, even if its number is smaller.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/catalog/src/runner.rs
+++ b/crates/catalog/src/runner.rs
@@ -17,7 +17,7 @@
 /// A model loaded in a runner's accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// Name of the model.
+    /// Name of the model, as the runner reports it.
     pub model: Arc<str>,
     /// Version of the loaded weights.
     pub version: u64,
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -86,12 +86,12 @@
     },
     /// Extends a lease by its time to live.
     RenewLease {
-        /// Id of the lease to renew.
+        /// Id of the lease to renew, from [`StoreAnswer::Lease`].
         lease: u64,
     },
     /// Ends a lease before its time.
     EndLease {
-        /// Id of the lease to end.
+        /// Id of the lease to end, from [`StoreAnswer::Lease`].
         lease: u64,
     },
 }
