--- a/crates/callers/benches/admission.rs
+++ b/crates/callers/benches/admission.rs
@@ -2,8 +2,8 @@
 //! tenant, and the tenant's quota at the node and at the limit owner.
 //!
 //! `cargo bench -p barleyspar-callers` prints a line for each number of tenants: tenants,
-//! credentials, microseconds per request. The target is under 20 microseconds, whatever the
-//! number of tenants.
+//! credentials, microseconds per request. The target is under 20 microseconds for
+//! each number of tenants.
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/callers/src/bucket.rs
+++ b/crates/callers/src/bucket.rs
@@ -13,14 +13,14 @@
 /// what two owners may grant at the same time while nodes receive from different peers.
 const GRANTED_FRACTION: f64 = 0.5;
 
-/// Minimum rate of calls to a runner, per second, whatever limit it advertises. Without any
+/// Minimum rate of calls to a runner, per second, even if it advertises a lower limit. Without any
 /// call, no node would learn that the runner accepts more again.
 const MINIMUM_CALL_RATE: f64 = 0.1;
 /// Time in seconds whose calls, at a runner's rate, may be sent to the runner at once, in
 /// addition to [`CALL_BURST`]. Calls arrive unevenly and would be delayed if they were spaced
 /// evenly.
 const CALL_BURST_SECONDS: f64 = 1.0;
-/// Number of calls that may be sent to a runner at once, whatever its rate, in addition to
+/// Number of calls that may be sent to a runner at once, independent of its rate, in addition to
 /// those of [`CALL_BURST_SECONDS`].
 const CALL_BURST: f64 = 2.0;
 
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -5,7 +5,7 @@
 //! messages. In a network partition, the groups of nodes may choose different owners. At
 //! most one group contains more than half of all nodes, and its owner grants the whole
 //! limit. The owners of all other groups grant so little that the total stays within the
-//! guaranteed overage, whatever the partition.
+//! guaranteed overage in every partition.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -167,22 +167,25 @@
 #[test]
 fn a_relayed_quarantine_ends_on_time() {
     let now = Instant::now();
-    let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
-    assert!(one.add(request(1), now + 100 * SECOND, now));
+    let (mut origin, mut relay) = (Quarantine::default(), Quarantine::default());
+    assert!(origin.add(request(1), now + 100 * SECOND, now));
     // Each message takes a while, and each node relays what it has received.
     for step in 0..390 {
         let at = now + step * SECOND / 4;
-        other.apply_updates(&one.updates_for_round(step as usize, at), at + SECOND / 10);
-        one.apply_updates(
-            &other.updates_for_round(step as usize, at),
+        relay.apply_updates(
+            &origin.updates_for_round(step as usize, at),
+            at + SECOND / 10,
+        );
+        origin.apply_updates(
+            &relay.updates_for_round(step as usize, at),
             at + SECOND / 10,
         );
     }
-    assert!(one.remaining(request(1), now + 99 * SECOND).is_some());
+    assert!(origin.remaining(request(1), now + 99 * SECOND).is_some());
     let ended = now + 101 * SECOND;
-    assert!(one.remaining(request(1), ended).is_none());
-    assert!(other.remaining(request(1), ended).is_none());
-    assert!(one.updates_for_round(0, ended).is_empty());
+    assert!(origin.remaining(request(1), ended).is_none());
+    assert!(relay.remaining(request(1), ended).is_none());
+    assert!(origin.updates_for_round(0, ended).is_empty());
 }
 
 #[test]
@@ -227,7 +230,7 @@
     assert!(served.contains(request(1), now + 59 * SECOND));
     assert!(!served.contains(request(1), now + 61 * SECOND));
     assert!(!served.contains(request(2), now));
-    // A request that is served repeatedly stays recorded, whatever else is served.
+    // A request that is served repeatedly stays recorded even if many others are served.
     for number in 0..5000 {
         served.add(request(10 + number), now);
         if number.is_multiple_of(500) {
--- a/crates/callers/tests/fleet.rs
+++ b/crates/callers/tests/fleet.rs
@@ -270,7 +270,7 @@
     }
 }
 
-fn sum(granted: &Granted) -> f64 {
+fn total_cost(granted: &Granted) -> f64 {
     granted.iter().map(|(_, cost)| *cost as f64).sum()
 }
 
@@ -305,11 +305,11 @@
                 let (equal, _) =
                     Fleet::new(count, fault).simulate(demand, Fleet::granted_by_equal_shares);
                 let window = fullest_window(&granted, 1.0);
-                let fraction = sum(&granted) / sum(&ideal);
+                let fraction = total_cost(&granted) / total_cost(&ideal);
                 println!(
                     "{count:5}  {demand:6}  {fault:12?}  {window:.2}  {fraction:.2}   {:.2}  {:.2}",
                     fullest_window(&equal, 1.0),
-                    sum(&equal) / sum(&ideal)
+                    total_cost(&equal) / total_cost(&ideal)
                 );
                 assert!(window <= 1.0, "{count} nodes, {fault:?}: {window}");
                 let least = least_granted(fault, demand);
