--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -22,35 +22,33 @@
 struct Owner {
     owner: QuotaOwner,
     now: Instant,
-    share: VisibleNodes,
+    visible_nodes: VisibleNodes,
 }
 
 impl Owner {
-    fn new(heard: usize, nodes: usize) -> Self {
+    fn new(visible: usize, total: usize) -> Self {
         let now = Instant::now();
         Self {
             owner: QuotaOwner::new(now, FAILURE_DETECTION_TIME),
             now,
-            share: VisibleNodes {
-                visible: heard,
-                total: nodes,
-            },
+            visible_nodes: VisibleNodes { visible, total },
         }
     }
 
     /// Counts a crash of `runner` at which the request `subject` had this progress. Returns
     /// whether the request is now considered to cause crashes.
     fn crashed(&mut self, subject: Fingerprint, runner: &str, progress: Progress) -> bool {
-        self.crashed_elsewhere(subject, runner, progress, None)
+        self.crashed_after_other_owner(subject, runner, progress, None)
     }
 
-    /// Like [`Self::crashed`], asked by a node that asked another owner `elsewhere_ms` ago.
-    fn crashed_elsewhere(
+    /// Like [`Self::crashed`], reported by a node that asked another owner
+    /// `other_owner_asked_ms` milliseconds ago; `None` if it asked no other owner.
+    fn crashed_after_other_owner(
         &mut self,
         subject: Fingerprint,
         runner: &str,
         progress: Progress,
-        elsewhere_ms: Option<u32>,
+        other_owner_asked_ms: Option<u32>,
     ) -> bool {
         let request = QuotaRequest {
             number: 1,
@@ -59,10 +57,12 @@
             named: None,
             cost: progress.weight(),
             charge_once_key: Some(Arc::from(runner)),
-            other_owner_asked_ms: elsewhere_ms,
+            other_owner_asked_ms,
         };
         let limit = QuotaLimit::of_crashes();
-        let answer = self.owner.answer(&request, limit, self.share, self.now);
+        let answer = self
+            .owner
+            .answer(&request, limit, self.visible_nodes, self.now);
         matches!(answer, QuotaAnswer::Denied { .. })
     }
 }
@@ -131,10 +131,15 @@
 fn a_crash_that_another_owner_counted_recently_is_not_forgiven() {
     let mut owner = Owner::new(5, 6);
     assert!(!owner.crashed(request(2), "r2", Progress::Started));
-    let other_owner_ms = Some(400);
-    assert!(!owner.crashed_elsewhere(request(1), "r0", Progress::Queued, None));
+    let other_owner_asked_ms = Some(400);
+    assert!(!owner.crashed_after_other_owner(request(1), "r0", Progress::Queued, None));
     owner.now += SECOND;
-    assert!(owner.crashed_elsewhere(request(1), "r2", Progress::Started, other_owner_ms));
+    assert!(owner.crashed_after_other_owner(
+        request(1),
+        "r2",
+        Progress::Started,
+        other_owner_asked_ms
+    ));
 }
 
 #[test]
@@ -162,22 +167,25 @@
 #[test]
 fn a_relayed_quarantine_ends_on_time() {
     let now = Instant::now();
-    let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
-    assert!(one.add(request(1), now + 100 * SECOND, now));
+    let (mut origin, mut relay) = (Quarantine::default(), Quarantine::default());
+    assert!(origin.add(request(1), now + 100 * SECOND, now));
     // Each message takes a while, and each node relays what it has received.
     for step in 0..390 {
         let at = now + step * SECOND / 4;
-        other.apply_updates(&one.updates_for_round(step as usize, at), at + SECOND / 10);
-        one.apply_updates(
-            &other.updates_for_round(step as usize, at),
+        relay.apply_updates(
+            &origin.updates_for_round(step as usize, at),
+            at + SECOND / 10,
+        );
+        origin.apply_updates(
+            &relay.updates_for_round(step as usize, at),
             at + SECOND / 10,
         );
     }
-    assert!(one.remaining(request(1), now + 99 * SECOND).is_some());
+    assert!(origin.remaining(request(1), now + 99 * SECOND).is_some());
     let ended = now + 101 * SECOND;
-    assert!(one.remaining(request(1), ended).is_none());
-    assert!(other.remaining(request(1), ended).is_none());
-    assert!(one.updates_for_round(0, ended).is_empty());
+    assert!(origin.remaining(request(1), ended).is_none());
+    assert!(relay.remaining(request(1), ended).is_none());
+    assert!(origin.updates_for_round(0, ended).is_empty());
 }
 
 #[test]
@@ -222,7 +230,7 @@
     assert!(served.contains(request(1), now + 59 * SECOND));
     assert!(!served.contains(request(1), now + 61 * SECOND));
     assert!(!served.contains(request(2), now));
-    // A request that is served repeatedly stays recorded, whatever else is served.
+    // A request that is served repeatedly stays recorded even if many others are served.
     for number in 0..5000 {
         served.add(request(10 + number), now);
         if number.is_multiple_of(500) {
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -8,7 +8,7 @@
 
 use crate::Revision;
 
-/// A key of the store with its value.
+/// An entry of the store: a key, its value and the revision of its last change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// Key of the item, unique in the store.
@@ -86,12 +86,12 @@
     },
     /// Extends a lease by its time to live.
     RenewLease {
-        /// Id of the lease to renew.
+        /// Id of the lease to renew, from [`StoreAnswer::Lease`].
         lease: u64,
     },
     /// Ends a lease before its time.
     EndLease {
-        /// Id of the lease to end.
+        /// Id of the lease to end, from [`StoreAnswer::Lease`].
         lease: u64,
     },
 }
