--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use barleyspar_catalog::{
-    ColdBounds, Configuration, EngineSpec, Homes, ModelReference, ModelSpec, Runner, RunnerState,
-    Service,
+    AllowedRegions, ColdBounds, Configuration, EngineSpec, ModelReference, ModelSpec, Runner,
+    RunnerState, Service,
 };
 use barleyspar_dispatch::{AttemptKind, BudgetLimits, Dispatcher, Query, Site};
 
@@ -104,15 +104,15 @@
             adapter: None,
         }),
         priority: 1,
-        tokens: 100,
+        cache_tokens: 100,
         prompt_tokens: 100,
-        affinity: None,
+        prefix_key: None,
         deadline: now + 15 * SECOND,
         target_latency: Some(target),
         patience: Some(patience),
-        returning: false,
-        homes: Homes::default(),
-        excluded: Vec::new(),
+        is_client_retry: false,
+        allowed_regions: AllowedRegions::default(),
+        excluded_runners: Vec::new(),
         attempt: AttemptKind::First,
         may_wait: true,
     }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::{Fingerprint, cost};
+use barleyspar_callers::{Fingerprint, request_cost};
 use barleyspar_catalog::{RequestFacts, RequestKind, Route, Tenant};
 use bytes::Bytes;
 use http::header::HOST;
@@ -54,7 +54,7 @@
     let Some(table) = table else {
         return Err(OwnAnswer::refused(
             "no_configuration",
-            retry_after_unconfigured(context.started.elapsed()),
+            retry_after_unconfigured(context.started_at.elapsed()),
         ));
     };
     let route = table
@@ -106,7 +106,7 @@
     let Some((tenant, quota)) = tenant_quota else {
         return Ok(None);
     };
-    let cost = cost(quota.unit, facts);
+    let cost = request_cost(quota.unit, facts);
     let name = tenant.name.clone();
     let patience = route.target_latency.unwrap_or_default() / QUOTA_PATIENCE_DIVISOR;
     let decision = context.quota.admit(name.clone(), cost, patience).await;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
 use barleyspar_callers::AccessBounds;
 use barleyspar_catalog::{Dialect, NodeSettings};
 use barleyspar_dispatch::{BudgetLimits, Dispatcher, Site};
-use barleyspar_loading::{PaceLimits, Planner, PlannerSettings, Switches};
+use barleyspar_loading::{LoadRateLimits, Planner, PlannerSettings, Switches};
 use barleyspar_policy::Program;
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -30,7 +30,7 @@
 use crate::network::{Listener, Network, Sockets};
 use crate::placement::{self, LeaseKeeper, PlacementTask};
 use crate::quota::QuotaTask;
-use crate::restored::Restored;
+use crate::restore_tracker::RestoreTracker;
 use crate::store::Store;
 use crate::{crashes, dispatch, feed, peers, quota, rate_permits, readiness, register, request};
 
@@ -69,19 +69,19 @@
 
 /// Options of model placement: the operators' policy, and switches for measurements.
 #[derive(Debug)]
-pub struct Placing {
+pub struct PlacementOptions {
     /// The policy program, which decides how many replicas a model may have.
     pub policy: Program,
     /// Parts of the planner that are switched off, to measure their effect.
     pub switches: Switches,
 }
 
-impl Placing {
+impl PlacementOptions {
     /// Completes the planner's settings with the limits on the rate of loads.
-    fn with_pace(self, pace: PaceLimits) -> PlannerSettings {
+    fn with_pace(self, pace: LoadRateLimits) -> PlannerSettings {
         PlannerSettings {
             policy: self.policy,
-            pace,
+            load_rate_limits: pace,
             switches: self.switches,
         }
     }
@@ -93,7 +93,7 @@
     read_settings: impl Fn() -> Result<NodeSettings, String> + Send + 'static,
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: Placing,
+    placing: PlacementOptions,
 ) -> Result<(), NodeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
@@ -120,7 +120,7 @@
     pub async fn start(
         settings: NodeSettings,
         dialect: Arc<dyn Dialect>,
-        placing: Placing,
+        placing: PlacementOptions,
         network: Arc<dyn Network>,
     ) -> Result<Self, NodeError> {
         let (stage, lifecycle) = Lifecycle::running();
@@ -178,7 +178,7 @@
 async fn start(
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: Placing,
+    placing: PlacementOptions,
     network: Arc<dyn Network>,
     lifecycle: Lifecycle,
 ) -> Result<Context, NodeError> {
@@ -204,7 +204,7 @@
         dialect: dialect.clone(),
         network: network.clone(),
         settings: settings.clone(),
-        started: Instant::now(),
+        started_at: Instant::now(),
         routes,
         confirmed_at,
         quota,
@@ -253,26 +253,26 @@
         placement: placement_handle.clone(),
         peers: peer_handle.clone(),
         leader: leader_sender,
-        settled_era: settled_era_sender,
-        confirmed: confirmed_sender,
-        keeper: ConfigurationKeeper {
+        lease_era: settled_era_sender,
+        confirmed_at: confirmed_sender,
+        configuration_keeper: ConfigurationKeeper {
             context: context.clone(),
             store: store.clone(),
-            heard: peer_handle.heard(),
-            shown: watch::Sender::new(0),
+            seen_peers: peer_handle.seen_peers(),
+            shown_version: watch::Sender::new(0),
         },
-        in_force: None,
-        kept: None,
-        unreadable: false,
+        configuration_item: None,
+        kept_revision: None,
+        configuration_unreadable: false,
         names: Names::default(),
         arrivals: Arrivals::default(),
         runners: HashMap::new(),
-        restored: Restored::default(),
-        evacuated: BTreeMap::new(),
+        restore_tracker: RestoreTracker::default(),
+        evacuated_zones: BTreeMap::new(),
     };
-    let heard = peer_handle.heard();
-    let feed_peers = peer_handle.heard();
-    let pace = PaceLimits {
+    let heard = peer_handle.seen_peers();
+    let feed_peers = peer_handle.seen_peers();
+    let pace = LoadRateLimits {
         window: settings.bounds.load_window,
         overage: settings.bounds.load_overage,
     };
@@ -298,15 +298,15 @@
         context: context.clone(),
         store: store.clone(),
         leader,
-        settled_era,
-        heard,
-        held,
+        lease_era: settled_era,
+        seen_peers: heard,
+        lease: held,
     };
     crate::tasks::spawn(discovery.run(changes));
     let (feed_state, feed_seen) = watch::channel(FeedState::default());
     let feed_task = FeedTask::new(
         context.clone(),
-        store.separate(),
+        store.with_own_connections(),
         feed_peers,
         feed_state,
         changes_sender,
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use barleyspar_callers::Quarantine;
-use barleyspar_dispatch::{LeavingNews, LimitNews, RunnerKey};
+use barleyspar_dispatch::{DrainingUpdate, LimitUpdate, RunnerKey};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
 use crate::context::Context;
-use crate::messages::{Message, News};
+use crate::messages::{ClusterUpdates, Message};
 use crate::network::Datagrams;
 use crate::peers::members::Members;
 use crate::peers::relay::{RELAY_INTERVAL, RelayState};
 use crate::peers::times::{
     MEMBER_TIMEOUT, MIN_INTERVAL, URGENT_INTERVAL, VALID_INTERVALS, demand_interval,
 };
-use crate::peers::{Command, Heard, MemberRecord, PeerInbox};
+use crate::peers::{Command, MemberRecord, PeerInbox, SeenPeer};
 use crate::placement::{LeaderRecord, PlacementHandle};
 
 /// Delay before other nodes are notified of a quarantined request, so that one message
@@ -60,7 +60,7 @@
     placement: PlacementHandle,
     urgent: Arc<Notify>,
     commands: mpsc::UnboundedReceiver<Command>,
-    heard: watch::Sender<HashMap<Arc<str>, Heard>>,
+    heard: watch::Sender<HashMap<Arc<str>, SeenPeer>>,
 }
 
 impl PeerTask {
@@ -77,7 +77,7 @@
     ) -> Self {
         Self {
             own: MemberRecord::of(&context.settings),
-            quarantine: context.crashes.quarantine(),
+            quarantine: context.crashes.watch_quarantine(),
             context,
             socket,
             members: Members::default(),
@@ -189,28 +189,39 @@
                     self.context.dispatch.update_models(inventory);
                 }
             }
-            Some(Message::QuotaRequest(request)) => self.context.quota.asked(request),
+            Some(Message::QuotaRequest(request)) => self.context.quota.handle_peer_request(request),
             Some(Message::QuotaAnswer { number, answer }) => {
-                self.context.quota.answered(number, answer);
+                self.context.quota.handle_owner_answer(number, answer);
             }
             None => tracing::info!(event = "datagram_unreadable", bytes = bytes.len()),
         }
     }
 
-    fn apply_updates(&self, updates: News) {
-        self.context.dispatch.hear_limits(updates.limits);
-        self.context.dispatch.hear_leaving_news(updates.leaving);
-        self.context.crashes.hear(updates.quarantined);
+    fn apply_updates(&self, updates: ClusterUpdates) {
+        self.context.dispatch.apply_limit_updates(updates.limits);
+        self.context
+            .dispatch
+            .apply_draining_updates(updates.draining);
+        self.context
+            .crashes
+            .apply_quarantine_updates(updates.quarantined);
     }
 
     /// Returns the updates for this node's next message.
-    fn next_updates(&mut self, limits: Vec<LimitNews>, leaving: Vec<LeavingNews>) -> News {
+    fn next_updates(
+        &mut self,
+        limits: Vec<LimitUpdate>,
+        leaving: Vec<DrainingUpdate>,
+    ) -> ClusterUpdates {
         self.update_round = self.update_round.wrapping_add(1);
         let now = Instant::now().into_std();
-        News {
+        ClusterUpdates {
             limits,
-            leaving,
-            quarantined: self.quarantine.borrow().news(self.update_round, now),
+            draining: leaving,
+            quarantined: self
+                .quarantine
+                .borrow()
+                .updates_for_round(self.update_round, now),
         }
     }
 
@@ -257,9 +268,10 @@
                     continue;
                 };
                 let known = heard.get(&name);
-                let status = Heard {
-                    at: known.map_or(at, |known| known.at.max(at)),
-                    told: by_message || known.is_some_and(|known| known.told),
+                let status = SeenPeer {
+                    last_seen: known.map_or(at, |known| known.last_seen.max(at)),
+                    has_sent_message: by_message
+                        || known.is_some_and(|known| known.has_sent_message),
                     address: record.address,
                     capacity: record.capacity,
                     zone: record.zone.clone(),
@@ -297,14 +309,14 @@
     fn refresh_members(&mut self) {
         self.members.drop_unresponsive();
         self.heard
-            .send_modify(|heard| heard.retain(|_, peer| peer.at.elapsed() < MEMBER_TIMEOUT));
+            .send_modify(|heard| heard.retain(|_, peer| peer.last_seen.elapsed() < MEMBER_TIMEOUT));
         if self.published_changes == Some(self.members.changes()) {
             return;
         }
         self.published_changes = Some(self.members.changes());
         let own = self.context.settings.name.clone();
         let members: Vec<Arc<str>> = self.members.names().cloned().chain([own]).collect();
-        self.context.metrics.nodes(members.len());
+        self.context.metrics.set_member_count(members.len());
         self.context.dispatch.set_members(members);
     }
 
@@ -313,7 +325,7 @@
         let Some(snapshot) = self.context.dispatch.snapshot().await else {
             return;
         };
-        let updates = self.next_updates(snapshot.limits, snapshot.leaving);
+        let updates = self.next_updates(snapshot.limits, snapshot.draining);
         if !self.members.is_relayed() {
             let others = self.members.names().cloned().collect();
             return self.send_load_to(snapshot.load, updates, others).await;
@@ -337,7 +349,7 @@
     pub(super) async fn send_load_to(
         &mut self,
         in_flight: Vec<(RunnerKey, u32)>,
-        updates: News,
+        updates: ClusterUpdates,
         to: Vec<Arc<str>>,
     ) {
         let message = Message::Load {
--- a/crates/gateway/src/placement/runners.rs
+++ b/crates/gateway/src/placement/runners.rs
@@ -12,7 +12,7 @@
 use barleyspar_dispatch::{RunnerKey, runner_key};
 use tokio::time::Instant;
 
-use crate::dispatch::{LeavingRunners, Limits};
+use crate::dispatch::{AdvertisedLimits, DrainingRunners};
 use crate::placement::tracked_runner::TrackedRunner;
 
 /// Maximum number of runners for which a new leader reads all reports at once. Each
@@ -68,7 +68,7 @@
         self.tracked.entry(runner.id.clone()).or_insert_with(|| {
             let mut entry = TrackedRunner::new(runner);
             entry.view.evacuated = evacuated;
-            entry.view.unread = !reads_report;
+            entry.view.report_unread = !reads_report;
             entry.report_at = reads_report.then(Instant::now);
             entry
         })
@@ -85,8 +85,8 @@
         }
         let reads_report = self.tracked.len() <= MAX_INITIAL_REPORTS;
         let entry = self.entry(&runner, reads_report);
-        entry.view.open = runner.state == RunnerState::Available;
-        if !entry.view.reported {
+        entry.view.available = runner.state == RunnerState::Available;
+        if !entry.view.report_known {
             entry.view.models = runner.models.clone();
         }
         if !runner.copies.memory.is_empty() || !runner.copies.disk.is_empty() {
@@ -140,25 +140,25 @@
 
     /// Excludes runners that announced that they are draining, whatever their entries
     /// say.
-    pub fn set_draining(&mut self, leaving: &LeavingRunners) {
+    pub fn set_draining(&mut self, leaving: &DrainingRunners) {
         for id in leaving.iter() {
             if let Some(entry) = self.tracked.get_mut(id) {
-                entry.view.open = false;
+                entry.view.available = false;
             }
         }
     }
 
     /// Applies the rate limits that runners announced. An order to a runner whose limit
     /// is reached is not sent, and is planned again only once the runner may be called.
-    pub fn set_limits(&mut self, limits: &Limits) {
+    pub fn set_limits(&mut self, limits: &AdvertisedLimits) {
         let now = Instant::now();
         for (id, entry) in &mut self.tracked {
             let announced = limits
                 .get(id)
-                .filter(|announced| announced.binds(now.into_std()));
+                .filter(|announced| announced.is_current(now.into_std()));
             let limit = announced.and_then(|announced| announced.limit);
-            entry.view.limit = limit.map(RunnerLimit::per_second);
-            entry.view.held_back = entry.no_calls_until.is_some_and(|until| now < until);
+            entry.view.rate_limit = limit.map(RunnerLimit::per_second);
+            entry.view.calls_blocked = entry.no_calls_until.is_some_and(|until| now < until);
         }
     }
 
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use barleyspar_callers::Share;
+use barleyspar_callers::VisibleNodes;
 use barleyspar_catalog::NodeSettings;
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 use tokio::time::Instant;
 
-use crate::peers::Heard;
+use crate::peers::SeenPeer;
 
 /// Interval at which the list of responsive nodes is refreshed. An owner is needed for
 /// each request, and the list changes only with messages that arrive 0.25 s apart.
@@ -63,20 +63,20 @@
     /// responsive or not.
     pub fn refresh(
         &mut self,
-        heard: &HashMap<Arc<str>, Heard>,
+        heard: &HashMap<Arc<str>, SeenPeer>,
         node_count: usize,
         silence: Duration,
         now: Instant,
     ) {
         self.refreshed_at = Some(now);
         self.node_count = node_count;
-        let is_responsive = |peer: &Heard| {
-            let timeout = if peer.told {
+        let is_responsive = |peer: &SeenPeer| {
+            let timeout = if peer.has_sent_message {
                 silence
             } else {
                 UNSEEN_NODE_TIMEOUT
             };
-            now.saturating_duration_since(peer.at) < timeout
+            now.saturating_duration_since(peer.last_seen) < timeout
         };
         let mut nodes: Vec<(Arc<str>, u32)> = heard
             .iter()
@@ -92,10 +92,10 @@
     }
 
     /// Returns how many of all nodes are responsive, including this one.
-    pub fn responsive_share(&self) -> Share {
-        Share {
-            heard: self.nodes.len(),
-            nodes: self.node_count,
+    pub fn responsive_share(&self) -> VisibleNodes {
+        VisibleNodes {
+            visible: self.nodes.len(),
+            total: self.node_count,
         }
     }
 
@@ -106,7 +106,8 @@
         if let Some(owner) = self.owners.get(limit) {
             return owner.clone();
         }
-        let preference = |(name, capacity): &&(Arc<str>, u32)| (*capacity, rank(&**limit, &**name));
+        let preference =
+            |(name, capacity): &&(Arc<str>, u32)| (*capacity, rendezvous_weight(&**limit, &**name));
         let best = self.nodes.iter().max_by_key(preference);
         let owner = best.map_or(&self.this_node.0, |(name, _)| name).clone();
         if self.owners.len() >= MAXIMUM_CACHED {
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -7,13 +7,13 @@
 
 use barleyspar_callers::{QuotaAnswer, QuotaLedger, QuotaLimit, QuotaOwner, QuotaRequest, Subject};
 use barleyspar_catalog::RunnerLimit;
-use barleyspar_domain::rank;
+use barleyspar_domain::rendezvous_weight;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
 use crate::context::Context;
 use crate::messages::Message;
-use crate::peers::{PeerHandle, longest_silence};
+use crate::peers::{PeerHandle, peer_timeout};
 use crate::quota::owners::Owners;
 use crate::quota::{Command, QuotaDecision, QuotaInbox};
 
@@ -59,11 +59,11 @@
 impl QuotaTask {
     /// Creates the task of the node with this context.
     pub fn new(context: Context, peers: PeerHandle, inbox: QuotaInbox) -> Self {
-        let nodes = context.dispatch.nodes();
-        let started = context.started.into_std();
+        let nodes = context.dispatch.member_count();
+        let started = context.started_at.into_std();
         Self {
             owners: Owners::new(&context.settings),
-            owner: QuotaOwner::new(started, longest_silence(nodes)),
+            owner: QuotaOwner::new(started, peer_timeout(nodes)),
             ledger: QuotaLedger::new(context.settings.bounds.quota.window),
             pending: BTreeMap::new(),
             retries: VecDeque::new(),
@@ -148,9 +148,9 @@
     fn refresh_owners(&mut self) {
         let now = Instant::now();
         if self.owners.is_refresh_due(now) {
-            let nodes = self.context.dispatch.nodes();
-            let heard = self.peers.heard();
-            let silence = longest_silence(nodes);
+            let nodes = self.context.dispatch.member_count();
+            let heard = self.peers.seen_peers();
+            let silence = peer_timeout(nodes);
             self.owners
                 .refresh(&heard.borrow(), nodes as usize, silence, now);
         }
@@ -181,8 +181,8 @@
             subject: pending.subject.clone(),
             named: pending.announced_limit,
             cost: pending.cost,
-            once_for: pending.once_for.clone(),
-            elsewhere_ms: self.ledger.asks(&pending.subject, &owner, now()),
+            charge_once_key: pending.once_for.clone(),
+            other_owner_asked_ms: self.ledger.record_question(&pending.subject, &owner, now()),
         };
         pending.attempts += 1;
         self.pending.insert(number, pending);
@@ -191,7 +191,8 @@
             return self.apply_answer(number, answer);
         }
         self.schedule_retry(number, RETRY_DELAY);
-        self.peers.tell(owner, Message::QuotaRequest(request));
+        self.peers
+            .send_message(owner, Message::QuotaRequest(request));
     }
 
     fn schedule_retry(&mut self, number: u64, after: Duration) {
@@ -223,7 +224,8 @@
     /// Decides a request by the reserve because no owner has answered. A request that the
     /// reserve does not cover is retried while its patience lasts.
     fn decide_by_reserve(&mut self, number: u64, mut pending: Pending) {
-        let draw = rank(&self.last_number, &*self.context.settings.name) as f64 / u64::MAX as f64;
+        let draw = rendezvous_weight(&self.last_number, &*self.context.settings.name) as f64
+            / u64::MAX as f64;
         let granted = self
             .ledger
             .take_reserve(&pending.subject, pending.cost, draw, now());
@@ -265,7 +267,7 @@
         };
         let number = request.number;
         let message = Message::QuotaAnswer { number, answer };
-        self.peers.tell(request.node, message);
+        self.peers.send_message(request.node, message);
     }
 
     fn answer(&mut self, request: &QuotaRequest) -> QuotaAnswer {
--- a/crates/gateway/src/notices.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,7 +1,7 @@
 //! Applies the signals that runners send in the headers of their answers (rate limit,
 //! draining, requested pause), whatever call the answer belongs to.
 
-use barleyspar_catalog::{AnswerFacts, Runner, RunnerNotice};
+use barleyspar_catalog::{AnswerFacts, Runner, RunnerSignals};
 use barleyspar_dispatch::AdvertisedLimit;
 use http::StatusCode;
 use tokio::time::Instant;
@@ -10,49 +10,54 @@
 use crate::journal;
 
 /// The call to which an answer with signals belongs.
-pub struct Heard<'a> {
+pub struct SignalledCall<'a> {
     /// The runner to which the call was sent.
-    pub asked: &'a Runner,
+    pub runner: &'a Runner,
     /// Name of the call in metrics and log lines.
     pub call: &'static str,
     /// When the call was sent.
     pub sent_at: Instant,
     /// Whether a runner with a rate limit advertises it in each answer to this call, so
     /// that an answer without one means that there is none.
-    pub always_limited: bool,
+    pub limit_expected: bool,
 }
 
 /// Applies the signals in the head of an answer. Ignores those of an answer that another
 /// runner gave.
-pub fn hear(context: &Context, call: &Heard<'_>, status: StatusCode, facts: &AnswerFacts) {
-    if !is_from_called_runner(call.asked, status, facts) {
+pub fn apply_signals(
+    context: &Context,
+    call: &SignalledCall<'_>,
+    status: StatusCode,
+    facts: &AnswerFacts,
+) {
+    if !is_from_called_runner(call.runner, status, facts) {
         return;
     }
-    let RunnerNotice {
+    let RunnerSignals {
         limit,
-        leaves,
-        pause,
-    } = facts.notice;
-    if limit.is_some() || call.always_limited {
+        draining: leaves,
+        requested_pause: pause,
+    } = facts.signals;
+    if limit.is_some() || call.limit_expected {
         apply_limit(context, call, facts);
     }
     if leaves {
         context.metrics.runner_signal(call.call, "leaves");
-        context.dispatch.mark_draining(call.asked.id.clone());
+        context.dispatch.mark_draining(call.runner.id.clone());
     }
     if let Some(pause) = pause {
         context.metrics.runner_signal(call.call, "pause");
-        journal::runner_requested_pause(&call.asked.id, call.call, pause);
+        journal::runner_requested_pause(&call.runner.id, call.call, pause);
         context
             .dispatch
-            .set_requested_pause(call.asked.id.clone(), pause);
+            .set_requested_pause(call.runner.id.clone(), pause);
     }
 }
 
 /// Returns whether the answer comes from the runner that was called. A misdirected request
 /// may be answered by another runner, at an address that was assigned to it since.
 fn is_from_called_runner(called: &Runner, status: StatusCode, facts: &AnswerFacts) -> bool {
-    match &facts.runner {
+    match &facts.runner_name {
         Some(answering) => **answering == *called.name,
         None => status != StatusCode::MISDIRECTED_REQUEST,
     }
@@ -61,8 +66,8 @@
 /// Applies the rate limit in an answer, or its absence. Absence counts as of the time at
 /// which the call was sent, since an answer that advertises a limit may have overtaken this
 /// one.
-fn apply_limit(context: &Context, call: &Heard<'_>, facts: &AnswerFacts) {
-    let limit = facts.notice.limit;
+fn apply_limit(context: &Context, call: &SignalledCall<'_>, facts: &AnswerFacts) {
+    let limit = facts.signals.limit;
     context.metrics.limit_answer(call.call, limit.is_some());
     let at = if limit.is_some() {
         Instant::now()
@@ -70,7 +75,7 @@
         call.sent_at
     };
     let at = at.into_std();
-    let runner = call.asked.id.clone();
+    let runner = call.runner.id.clone();
     context
         .dispatch
         .apply_limit(runner, AdvertisedLimit { limit, at });
