--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP client that sends one request on a connection of its own.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -12,39 +12,39 @@
 use crate::dialect::names;
 use crate::network::MemoryNetwork;
 
-/// Longest wait of callers that name none.
-pub const USUAL_DEADLINE: Duration = Duration::from_secs(20);
+/// Deadline of requests for which the test sets none.
+pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(20);
 
-/// What a caller got.
+/// The answer that a client received, complete or not.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// The status; `None` if the connection ended without an answer.
+    /// Status code; `None` if the connection ended without an answer.
     pub status: Option<StatusCode>,
-    /// The headers.
+    /// Headers of the answer; empty if there was none.
     pub headers: HeaderMap,
-    /// The body as far as it came.
+    /// Body, up to where the connection broke off.
     pub body: Bytes,
-    /// Whether the body came whole.
-    pub whole: bool,
+    /// Whether the body arrived to its end.
+    pub complete: bool,
 }
 
 impl Answer {
-    /// What a caller has before it asks.
+    /// The answer of a connection that ended before any answer arrived.
     pub fn none() -> Self {
         Self {
             status: None,
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            whole: false,
+            complete: false,
         }
     }
 
-    /// The status as a number; 0 for none.
+    /// Status code as a number; 0 if the connection ended without an answer.
     pub fn code(&self) -> u16 {
         self.status.map_or(0, |status| status.as_u16())
     }
 
-    /// Ids of the events in the body.
+    /// Ids of the server-sent events in the body, in order.
     pub fn event_ids(&self) -> Vec<u64> {
         let text = String::from_utf8_lossy(&self.body);
         text.lines()
@@ -54,28 +54,29 @@
     }
 }
 
-/// A request to be sent.
-pub struct Asked<'a> {
-    /// Where the caller is.
+/// A request to a gateway, with what [`send_request`] needs to send it.
+pub struct ClientRequest<'a> {
+    /// Address of the client's host.
     pub from: IpAddr,
-    /// The gateway's address.
+    /// Address of the gateway's listener.
     pub to: SocketAddr,
-    /// The path.
+    /// Path of the request, which selects the route.
     pub path: &'a str,
-    /// Id of the attempt.
+    /// Request id, which the client sends as a header.
     pub id: &'a str,
-    /// Headers beside those that this stand-in knows of, as name and value.
+    /// Further headers, as name and value.
     pub extra: &'a [(&'a str, &'a str)],
-    /// The model asked for.
+    /// Model that the request names; `None` for a plain request.
     pub model: Option<&'a str>,
-    /// The body; the attempt's id for `None`.
+    /// Body of the request; `None` sends the request id as the body.
     pub body: Option<&'a str>,
-    /// How long the caller waits.
+    /// Time that the client waits, sent as the deadline header.
     pub deadline: Duration,
 }
 
-impl<'a> Asked<'a> {
-    /// A request from `from` to `to` for no model, by a caller that waits long.
+impl<'a> ClientRequest<'a> {
+    /// Returns a request that names no model, has no further headers, and has the default
+    /// deadline.
     pub fn plain(from: IpAddr, to: SocketAddr, path: &'a str, id: &'a str) -> Self {
         Self {
             from,
@@ -85,51 +86,54 @@
             extra: &[],
             model: None,
             body: None,
-            deadline: USUAL_DEADLINE,
+            deadline: DEFAULT_DEADLINE,
         }
     }
 }
 
-/// Sends a request on a connection of its own and reads the whole answer.
-pub async fn ask(network: &MemoryNetwork, asked: Asked<'_>) -> Answer {
-    let host = network.host(asked.from);
-    let Ok(stream) = host.connect(asked.to).await else {
+/// Sends `client_request` on a new connection and reads the answer to its end.
+pub async fn send_request(network: &MemoryNetwork, client_request: ClientRequest<'_>) -> Answer {
+    let host = network.host(client_request.from);
+    let Ok(stream) = host.connect(client_request.to).await else {
         return Answer::none();
     };
     let Ok((mut sender, connection)) = Builder::new().handshake(TokioIo::new(stream)).await else {
         return Answer::none();
     };
     let driver = tokio::spawn(async move {
-        // The end of the connection shows in the answer.
+        // An error of the connection shows in the answer, which is then incomplete.
         let _ = connection.await;
     });
-    let mut request = Request::post(asked.path)
+    let mut request = Request::post(client_request.path)
         .header("host", "host")
-        .header(names::REQUEST_ID, asked.id)
-        .header(names::DEADLINE, asked.deadline.as_millis().to_string());
-    if let Some(model) = asked.model {
+        .header(names::REQUEST_ID, client_request.id)
+        .header(
+            names::DEADLINE,
+            client_request.deadline.as_millis().to_string(),
+        );
+    if let Some(model) = client_request.model {
         request = request.header(names::MODEL, model);
     }
-    for (name, value) in asked.extra {
+    for (name, value) in client_request.extra {
         request = request.header(*name, *value);
     }
     let request = request
         .body(Full::new(Bytes::from(
-            asked.body.unwrap_or(asked.id).to_owned(),
+            client_request.body.unwrap_or(client_request.id).to_owned(),
         )))
         .expect("the request is well formed");
     let answer = match sender.send_request(request).await {
-        Ok(response) => read(response).await,
+        Ok(response) => read_answer(response).await,
         Err(_) => Answer::none(),
     };
     driver.abort();
     answer
 }
 
-async fn read(response: http::Response<hyper::body::Incoming>) -> Answer {
+async fn read_answer(response: http::Response<hyper::body::Incoming>) -> Answer {
     let (head, mut body) = response.into_parts();
     let mut bytes = Vec::new();
-    let whole = loop {
+    let complete = loop {
         match body.frame().await {
             None => break true,
             Some(Err(_)) => break false,
@@ -144,6 +148,6 @@
         status: Some(head.status),
         headers: head.headers,
         body: bytes.into(),
-        whole,
+        complete,
     }
 }
--- a/crates/standin/src/dialect.rs
+++ b/crates/standin/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The product's own wire: typed values in MessagePack, plain header names.
+//! A wire format for the tests: MessagePack values and plain header names. It stands in for
+//! the platform's dialect.
 
 use std::time::Duration;
 
@@ -12,73 +13,76 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Header names and keys of the wire.
+/// Header names, store keys and paths of the wire format.
 pub mod names {
-    /// Id of a client's attempt.
+    /// Request header: id that the client gave the request.
     pub const REQUEST_ID: &str = "request-id";
-    /// Milliseconds that the client waits.
+    /// Request header: time until the client's deadline, in milliseconds.
     pub const DEADLINE: &str = "deadline";
-    /// The model asked for.
+    /// Request header: model that the request names.
     pub const MODEL: &str = "model";
-    /// The adapter asked for.
+    /// Request header: adapter of the model that the request names.
     pub const ADAPTER: &str = "adapter";
-    /// The runner that is meant.
+    /// Header of calls to a runner: id of the runner that the gateway means to call.
     pub const RUNNER: &str = "runner";
-    /// The event after which to go on.
+    /// Request header: id of the last event that the client has; the stream continues after
+    /// it.
     pub const AFTER_EVENT: &str = "after-event";
-    /// The caller's secret.
+    /// Request header: the caller's secret, which a gateway does not pass on.
     pub const CREDENTIAL: &str = "credential";
-    /// The caller's tenant.
+    /// Header that a gateway adds: the caller's tenant.
     pub const TENANT: &str = "tenant";
-    /// Says that a request did not run.
+    /// Answer header: the runner did not run the request.
     pub const NOT_RUN: &str = "not-run";
-    /// The runner's signature.
+    /// Answer header: the runner's signature.
     pub const SIGNATURE: &str = "signature";
-    /// Requests a second that a runner takes from all nodes together.
+    /// Answer header: limit of the runner, in requests per second from all nodes together.
     pub const LIMIT: &str = "limit";
-    /// Says that a runner leaves.
+    /// Answer header: the runner is draining.
     pub const LEAVING: &str = "leaving";
-    /// Milliseconds for which a runner wants nothing from the node that it answers.
+    /// Answer header: requested pause, in milliseconds, for the node that receives the answer.
     pub const PAUSE: &str = "pause";
-    /// Era of the store.
+    /// Header of the store's answers: era, which rises when the store is restored from a
+    /// backup.
     pub const STORE_ERA: &str = "store-era";
-    /// Key of the configuration.
+    /// Store key of the configuration.
     pub const CONFIGURATION_KEY: &str = "configuration";
-    /// Prefix of the keys by which zones are evacuated.
+    /// Prefix of store keys; the rest of the key is a zone that is evacuated while the key
+    /// exists.
     pub const EVACUATION_PREFIX: &str = "evacuate/";
-    /// Prefix of the runners' keys.
+    /// Prefix of store keys of runner entries; the rest of the key is the runner's name.
     pub const RUNNER_PREFIX: &str = "runner/";
-    /// Path of reports.
+    /// Path at which a runner answers with its report.
     pub const REPORT_PATH: &str = "/report";
-    /// Path of orders.
+    /// Path at which a runner takes orders.
     pub const ORDER_PATH: &str = "/order";
-    /// Path of readiness.
+    /// Path at which a gateway answers readiness checks.
     pub const READINESS_PATH: &str = "/ready";
 }
 
-/// The wire.
+/// [`Dialect`] of the tests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeDialect;
 
-/// A value's bytes.
+/// Encodes a value as the store, runners and gateways exchange it.
 pub fn encode<T: Serialize>(value: &T) -> Bytes {
     rmp_serde::to_vec_named(value)
-        .expect("values of the wire are plain data")
+        .expect("wire values can be encoded")
         .into()
 }
 
-/// A value from its bytes.
+/// Decodes a value; the error describes where the bytes do not fit the type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     rmp_serde::from_slice(bytes).map_err(|error| error.to_string())
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
-    let value = HeaderValue::from_str(value).expect("values are plain text");
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
+    let value = HeaderValue::from_str(value).expect("header values are plain text");
     headers.insert(HeaderName::from_static(name), value);
 }
 
@@ -89,7 +93,7 @@
     request
 }
 
-/// Status of a store's error on the wire.
+/// Status code with which the store answers for `error`.
 pub fn error_status(error: &StoreError) -> StatusCode {
     match error {
         StoreError::HistoryLost => StatusCode::GONE,
@@ -103,19 +107,19 @@
     fn read_request(&self, head: &request::Parts) -> RequestFacts {
         let headers = &head.headers;
         RequestFacts {
-            request_id: text(headers, names::REQUEST_ID),
-            deadline: text(headers, names::DEADLINE)
+            request_id: header_text(headers, names::REQUEST_ID),
+            deadline: header_text(headers, names::DEADLINE)
                 .and_then(|value| value.parse().ok())
                 .map(Duration::from_millis),
-            model: text(headers, names::MODEL).map(|model| ModelReference {
+            model: header_text(headers, names::MODEL).map(|model| ModelReference {
                 model: model.into(),
-                adapter: text(headers, names::ADAPTER).map(Into::into),
+                adapter: header_text(headers, names::ADAPTER).map(Into::into),
             }),
             prompt_tokens: 100,
             answer_tokens: 100,
             shared_prefix: Vec::new(),
-            last_event_id: text(headers, names::AFTER_EVENT),
-            credential: text(headers, names::CREDENTIAL)
+            last_event_id: header_text(headers, names::AFTER_EVENT),
+            credential: header_text(headers, names::CREDENTIAL)
                 .map(|secret| Credential::of(secret.as_bytes())),
             named_tokens: Some(200),
         }
@@ -134,16 +138,16 @@
 
     fn added_headers(&self, forward: &Forward) -> HeaderMap {
         let mut headers = HeaderMap::new();
-        set(&mut headers, names::RUNNER, &forward.runner);
+        set_header(&mut headers, names::RUNNER, &forward.runner);
         if let Some(remaining) = forward.remaining {
             let remaining = remaining.as_millis().to_string();
-            set(&mut headers, names::DEADLINE, &remaining);
+            set_header(&mut headers, names::DEADLINE, &remaining);
         }
         if let Some(after) = &forward.last_event_id {
-            set(&mut headers, names::AFTER_EVENT, after);
+            set_header(&mut headers, names::AFTER_EVENT, after);
         }
         if let Some(tenant) = &forward.tenant {
-            set(&mut headers, names::TENANT, tenant);
+            set_header(&mut headers, names::TENANT, tenant);
         }
         headers
     }
@@ -151,19 +155,20 @@
     fn read_answer(&self, head: &response::Parts) -> AnswerFacts {
         let headers = &head.headers;
         AnswerFacts {
-            request_id: text(headers, names::REQUEST_ID),
+            request_id: header_text(headers, names::REQUEST_ID),
             runner: None,
             not_run: headers.contains_key(names::NOT_RUN),
             signed: headers.contains_key(names::SIGNATURE),
             keep_alive_seconds: Some(10),
-            event_stream: text(headers, "content-type").as_deref() == Some("text/event-stream"),
+            event_stream: header_text(headers, "content-type").as_deref()
+                == Some("text/event-stream"),
             encoded: false,
             notice: RunnerNotice {
-                limit: text(headers, names::LIMIT)
+                limit: header_text(headers, names::LIMIT)
                     .and_then(|value| value.parse().ok())
                     .and_then(RunnerLimit::new),
                 leaves: headers.contains_key(names::LEAVING),
-                pause: text(headers, names::PAUSE)
+                pause: header_text(headers, names::PAUSE)
                     .and_then(|value| value.parse().ok())
                     .map(Duration::from_millis),
             },
@@ -173,14 +178,14 @@
     fn own_headers(&self, request_id: Option<&str>) -> HeaderMap {
         let mut headers = HeaderMap::new();
         if let Some(request_id) = request_id {
-            set(&mut headers, names::REQUEST_ID, request_id);
+            set_header(&mut headers, names::REQUEST_ID, request_id);
         }
         headers
     }
 
     fn report_call(&self, runner: &str) -> Request<Bytes> {
         let mut request = post(names::REPORT_PATH, Bytes::new());
-        set(request.headers_mut(), names::RUNNER, runner);
+        set_header(request.headers_mut(), names::RUNNER, runner);
         request
     }
 
@@ -197,7 +202,7 @@
 
     fn order_call(&self, order: &Order) -> Request<Bytes> {
         let mut request = post(names::ORDER_PATH, encode(order));
-        set(request.headers_mut(), names::RUNNER, &order.runner);
+        set_header(request.headers_mut(), names::RUNNER, &order.runner);
         request
     }
 
@@ -217,7 +222,7 @@
     }
 
     fn store_era(&self, headers: &HeaderMap) -> u32 {
-        let era = text(headers, names::STORE_ERA);
+        let era = header_text(headers, names::STORE_ERA);
         era.and_then(|value| value.parse().ok()).unwrap_or(0)
     }
 
--- a/crates/standin/src/fencing.rs
+++ b/crates/standin/src/fencing.rs
@@ -1,4 +1,4 @@
-//! What must hold of the orders of all runners.
+//! Check that fencing tokens are not shared between leaders.
 
 use barleyspar_catalog::Order;
 
@@ -6,15 +6,16 @@
 use crate::world::World;
 
 impl World {
-    /// Two orders of two holders under one token, if there are any.
-    pub fn shared_token(&self) -> Option<(Order, Order)> {
+    /// Returns two orders of different holders with the same fencing token, at any runners;
+    /// `None` if there are none.
+    pub fn orders_sharing_a_token(&self) -> Option<(Order, Order)> {
         let runners = self.runners.values();
         let orders: Vec<Order> = runners.flat_map(RunnerStandIn::orders).collect();
         orders.iter().find_map(|order| {
-            let shares = |other: &&Order| {
+            let shares_token = |other: &&Order| {
                 other.fencing_token == order.fencing_token && other.holder != order.holder
             };
-            let other = orders.iter().find(shares)?;
+            let other = orders.iter().find(shares_token)?;
             Some((order.clone(), other.clone()))
         })
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the platform around real gateways: an in-memory network, the
-//! key-value store, runners, clients. With tokio's paused clock a run takes no
-//! real time and repeats.
+//! Stand-ins of the platform around real gateways, for tests: an in-memory network, the
+//! key-value store, runners and clients. With tokio's paused clock a test takes little real
+//! time and is repeatable.
 
 mod client;
 mod dialect;
@@ -14,6 +14,6 @@
 pub use client::Answer;
 pub use dialect::{NativeDialect, encode, names};
 pub use network::MemoryNetwork;
-pub use runner::{AskedPause, Call, Fault, Run, RunnerStandIn};
-pub use store::{Data, StoreStandIn};
-pub use world::{World, engine_service, model, plain_service, route, tenant};
+pub use runner::{Call, Fault, RequestedPause, Run, RunnerStandIn};
+pub use store::{StoreData, StoreStandIn};
+pub use world::{World, engine_service, one_second_model, plain_service, route, tenant};
--- a/crates/standin/src/network.rs
+++ b/crates/standin/src/network.rs
@@ -1,6 +1,6 @@
-//! A network in memory. Hosts can be cut off from each other: connections hang, and what
-//! was sent waits at its sender and is delivered when the cut ends, also if the sender has
-//! closed the connection meanwhile, as on a real network without power.
+//! An in-memory network. Two hosts can be cut off from each other: connection attempts hang,
+//! datagrams are lost, and bytes on open streams are delivered when the cut ends, even if the
+//! sender has closed the stream meanwhile, as on a real network that loses its power.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -18,15 +18,16 @@
 use tokio::sync::{Mutex as AsyncMutex, mpsc};
 use tokio::time::{Sleep, sleep};
 
-/// Bytes that a stream holds on its way.
-const STREAM_BYTES: usize = 256 * 1024;
-/// Connections that wait to be accepted.
+/// Bytes in each direction of a stream that may be sent and not yet read.
+const STREAM_BUFFER_BYTES: usize = 256 * 1024;
+/// Maximum number of connections that wait to be accepted at a listener.
 const BACKLOG: usize = 1024;
-/// Datagrams that wait to be read.
-const DATAGRAMS: usize = 1024;
-/// One way through the network.
-const DELAY: Duration = Duration::from_millis(1);
+/// Maximum number of datagrams that wait to be read at an address; further ones are lost.
+const INBOX_DATAGRAMS: usize = 1024;
+/// One-way delay of the network.
+const LINK_DELAY: Duration = Duration::from_millis(1);
 
+/// A connection at its listener, and the host that opened it.
 type Accepted = (Box<dyn ByteStream>, IpAddr);
 
 #[derive(Default)]
@@ -34,15 +35,16 @@
     listeners: BTreeMap<SocketAddr, mpsc::Sender<Accepted>>,
     inboxes: BTreeMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
     cuts: BTreeSet<(IpAddr, IpAddr)>,
-    /// Streams opened so far.
-    streams: u64,
-    /// By pair of hosts, the streams opened up to which are silent for good.
-    silent: BTreeMap<(IpAddr, IpAddr), u64>,
+    /// Number of streams opened so far; a stream's number is its position among them.
+    opened_streams: u64,
+    /// By pair of hosts, number of the last stream that is stalled for good; so are all
+    /// streams of the pair before it.
+    last_stalled: BTreeMap<(IpAddr, IpAddr), u64>,
     wakers: Vec<Waker>,
-    refused: u64,
+    refused_connections: u64,
 }
 
-/// The network. Clones are the same network.
+/// The network of a test. Clones share their state: they are the same network.
 #[derive(Clone, Default)]
 pub struct MemoryNetwork {
     state: Arc<Mutex<State>>,
@@ -53,7 +55,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The network as the host `ip` sees it.
+    /// Returns the network interface of the host `ip`, for a gateway or client.
     pub fn host(&self, ip: IpAddr) -> Arc<dyn Network> {
         Arc::new(Host {
             network: self.clone(),
@@ -61,25 +63,25 @@
         })
     }
 
-    /// Cuts two hosts off from each other.
+    /// Cuts two hosts off from each other until [`Self::heal`].
     pub fn cut(&self, one: IpAddr, other: IpAddr) {
-        self.lock().cuts.insert(pair(one, other));
+        self.lock().cuts.insert(host_pair(one, other));
     }
 
-    /// Streams that are open between two hosts go silent for good, without a
-    /// reset; new ones work.
-    pub fn silence(&self, one: IpAddr, other: IpAddr) {
+    /// Stalls the streams that are open between two hosts for good, without a reset. New
+    /// streams between them work.
+    pub fn stall_connections(&self, one: IpAddr, other: IpAddr) {
         let mut state = self.lock();
-        let opened = state.streams;
-        state.silent.insert(pair(one, other), opened);
+        let opened = state.opened_streams;
+        state.last_stalled.insert(host_pair(one, other), opened);
     }
 
-    /// Connections that nobody took so far.
+    /// Number of connection attempts so far that were refused, as no listener was there.
     pub fn refused_connections(&self) -> u64 {
-        self.lock().refused
+        self.lock().refused_connections
     }
 
-    /// Ends all cuts.
+    /// Ends all cuts. Stalled connections stay stalled.
     pub fn heal(&self) {
         let wakers = {
             let mut state = self.lock();
@@ -89,7 +91,7 @@
         wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// Takes a host's listeners and inboxes away, as when its process dies.
+    /// Removes the listeners and datagram inboxes of the host `ip`, as when its process dies.
     pub fn unbind(&self, ip: IpAddr) {
         let mut state = self.lock();
         state.listeners.retain(|address, _| address.ip() != ip);
@@ -97,10 +99,11 @@
     }
 
     fn is_cut(&self, one: IpAddr, other: IpAddr) -> bool {
-        self.lock().cuts.contains(&pair(one, other))
+        self.lock().cuts.contains(&host_pair(one, other))
     }
 
-    /// Listens on `address` and tells who connects.
+    /// Listens on `address`; the receiver gets each new connection, and the host that opened
+    /// it.
     pub fn listen(&self, address: SocketAddr) -> mpsc::Receiver<(Box<dyn ByteStream>, IpAddr)> {
         let (sender, receiver) = mpsc::channel(BACKLOG);
         self.lock().listeners.insert(address, sender);
@@ -108,7 +111,8 @@
     }
 }
 
-fn pair(one: IpAddr, other: IpAddr) -> (IpAddr, IpAddr) {
+/// Orders two hosts, so that a pair has the same key in either direction.
+fn host_pair(one: IpAddr, other: IpAddr) -> (IpAddr, IpAddr) {
     (one.min(other), one.max(other))
 }
 
@@ -120,31 +124,31 @@
 #[async_trait]
 impl Network for Host {
     async fn connect(&self, address: SocketAddr) -> io::Result<Box<dyn ByteStream>> {
-        tokio::time::sleep(DELAY).await;
+        tokio::time::sleep(LINK_DELAY).await;
         if self.network.is_cut(self.ip, address.ip()) {
             std::future::pending::<()>().await;
         }
         let listener = self.network.lock().listeners.get(&address).cloned();
         let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
         let Some(listener) = listener else {
-            self.network.lock().refused += 1;
+            self.network.lock().refused_connections += 1;
             return Err(refused());
         };
-        let (near, far) = tokio::io::duplex(STREAM_BYTES);
+        let (near, far) = tokio::io::duplex(STREAM_BUFFER_BYTES);
         let number = {
             let mut state = self.network.lock();
-            state.streams += 1;
-            state.streams
+            state.opened_streams += 1;
+            state.opened_streams
         };
         let reset = Arc::new(AtomicBool::new(false));
         let wrap = |stream| MemoryStream {
             network: self.network.clone(),
             number,
-            ends: pair(self.ip, address.ip()),
+            hosts: host_pair(self.ip, address.ip()),
             stream,
             reset: reset.clone(),
-            has_waited: false,
-            end: None,
+            read_during_cut: false,
+            end_delay: None,
         };
         let accepted: Accepted = (Box::new(wrap(far)), self.ip);
         listener.send(accepted).await.map_err(|_| refused())?;
@@ -157,7 +161,7 @@
     }
 
     async fn datagrams(&self, address: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        let (sender, inbox) = mpsc::channel(DATAGRAMS);
+        let (sender, inbox) = mpsc::channel(INBOX_DATAGRAMS);
         self.network.lock().inboxes.insert(address, sender);
         Ok(Box::new(MemoryDatagrams {
             network: self.network.clone(),
@@ -211,34 +215,38 @@
     }
 }
 
-/// A stream on which nothing arrives while its ends are cut off from each other, and
-/// which may stand still for good.
+/// One end of a stream. It delivers nothing while its hosts are cut off from each other, and
+/// nothing ever again once it is stalled.
 struct MemoryStream {
     network: MemoryNetwork,
+    /// Position among all streams of the network, in the order of their opening.
     number: u64,
-    ends: (IpAddr, IpAddr),
+    /// Hosts of the two ends, as [`host_pair`] orders them.
+    hosts: (IpAddr, IpAddr),
     stream: DuplexStream,
-    /// Whether an end has reset the connection; both share it.
+    /// Whether one of the ends has reset the connection; shared by both ends.
     reset: Arc<AtomicBool>,
-    /// Whether something waited for the end of a cut.
-    has_waited: bool,
-    /// Runs out when the end of the stream arrives.
-    end: Option<Pin<Box<Sleep>>>,
+    /// Whether a read found the hosts cut off from each other.
+    read_during_cut: bool,
+    /// Delay after which the end of the stream is delivered; set when it is first read.
+    end_delay: Option<Pin<Box<Sleep>>>,
 }
 
 impl MemoryStream {
+    /// Whether the hosts are cut off from each other; if so, `context` is woken when the cut
+    /// ends.
     fn is_cut(&self, context: &Context<'_>) -> bool {
         let mut state = self.network.lock();
-        let cut = state.cuts.contains(&self.ends);
+        let cut = state.cuts.contains(&self.hosts);
         if cut {
             state.wakers.push(context.waker().clone());
         }
         cut
     }
 
-    fn is_silent(&self) -> bool {
-        let last_silent = self.network.lock().silent.get(&self.ends).copied();
-        last_silent.is_some_and(|last| self.number <= last)
+    fn is_stalled(&self) -> bool {
+        let last_stalled = self.network.lock().last_stalled.get(&self.hosts).copied();
+        last_stalled.is_some_and(|last| self.number <= last)
     }
 }
 
@@ -255,10 +263,10 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.is_cut(context) {
-            self.has_waited = true;
+            self.read_during_cut = true;
             return Poll::Pending;
         }
-        if self.is_silent() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         if self.reset.load(Ordering::Relaxed) {
@@ -267,12 +275,15 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         let is_end = matches!(&read, Poll::Ready(Ok(()))) && buffer.filled().len() == before;
-        if !is_end || buffer.remaining() == 0 || !self.has_waited {
+        if !is_end || buffer.remaining() == 0 || !self.read_during_cut {
             return read;
         }
-        // What waited comes in several packets, the end in the last one.
-        let end = self.end.get_or_insert_with(|| Box::pin(sleep(DELAY)));
-        end.as_mut().poll(context).map(Ok)
+        // Held-back bytes arrive as several packets, and the end of the stream in the last
+        // one.
+        let end_delay = self
+            .end_delay
+            .get_or_insert_with(|| Box::pin(sleep(LINK_DELAY)));
+        end_delay.as_mut().poll(context).map(Ok)
     }
 }
 
@@ -282,7 +293,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.is_silent() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_write(context, bytes)
--- a/crates/standin/src/runner/guards.rs
+++ b/crates/standin/src/runner/guards.rs
@@ -1,4 +1,4 @@
-//! Runs and connections that last, counted until they end.
+//! Guards that count runs and connections of a runner until they are dropped.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -6,9 +6,10 @@
 
 use crate::runner::{Run, RunnerStandIn};
 
-/// Notes a run, and whether it ended by itself.
+/// Records a run of a request; the run is counted as running until the guard is dropped.
 pub struct RunGuard {
     runner: RunnerStandIn,
+    /// Position of the run in the runner's list of runs.
     index: usize,
 }
 
@@ -20,13 +21,13 @@
         body: &Bytes,
     ) -> Self {
         let mut state = runner.lock();
-        state.running += 1;
+        state.running_requests += 1;
         state.runs.push(Run {
             request_id: request_id.to_owned(),
             headers: headers.clone(),
             body: body.clone(),
-            begun: Instant::now(),
-            whole: false,
+            started_at: Instant::now(),
+            complete: false,
         });
         let index = state.runs.len() - 1;
         drop(state);
@@ -36,30 +37,30 @@
         }
     }
 
-    /// The run ended by itself.
-    pub fn end(&self) {
-        self.runner.lock().runs[self.index].whole = true;
+    /// Records that the run ended by itself and was not cancelled.
+    pub fn complete(&self) {
+        self.runner.lock().runs[self.index].complete = true;
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.runner.lock().running -= 1;
+        self.runner.lock().running_requests -= 1;
     }
 }
 
-/// Counts a connection while it is open.
+/// Counts a connection of the runner until the guard is dropped.
 pub(super) struct OpenConnection(RunnerStandIn);
 
 impl OpenConnection {
     pub(super) fn new(runner: &RunnerStandIn) -> Self {
-        runner.lock().connections += 1;
+        runner.lock().open_connections += 1;
         Self(runner.clone())
     }
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.lock().connections -= 1;
+        self.0.lock().open_connections -= 1;
     }
 }
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -1,9 +1,9 @@
-//! A runner: plain, or a model engine that takes fenced orders. It keeps a
-//! history of what it ran, and fails on request.
+//! A runner: plain, or a model engine that takes fenced orders. It records the calls that it
+//! receives and the requests that it runs, and fails as a test tells it to.
 
 mod guards;
-mod notices;
 mod orders;
+mod signals;
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,40 +24,43 @@
 
 use crate::dialect::{encode, names};
 use crate::network::MemoryNetwork;
-use crate::runner_body::{Broken, RunnerBody, not_now, not_run, sign, status, stream};
+use crate::runner_body::{
+    ConnectionBroken, RunnerBody, not_run_response, pause_response, sign, status_response,
+    stream_response,
+};
 use crate::store::StoreStandIn;
 
 pub use guards::RunGuard;
-pub use notices::AskedPause;
+pub use signals::RequestedPause;
 
 use guards::OpenConnection;
-use notices::Notices;
+use signals::Signals;
 
-/// Time for which a runner runs a request that crashes it.
+/// Time from the start of a request that crashes the runner to the crash.
 const CRASH_AFTER: Duration = Duration::from_millis(40);
-/// Time from such a crash to the runner's next life.
-const BACK_AFTER: Duration = Duration::from_secs(3);
-/// Time that a plain request takes.
-const PLAIN_WORK: Duration = Duration::from_millis(30);
+/// Time from a crash by a request to the runner's restart.
+const RESTART_AFTER: Duration = Duration::from_secs(3);
+/// Time that a plain request runs.
+const PLAIN_RUN_TIME: Duration = Duration::from_millis(30);
 
 /// How a runner fails the requests that it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It runs them and then resets the connection.
+    /// The runner runs the request and then resets the connection.
     ResetAfterRun,
-    /// It runs them and never answers.
-    Silent,
-    /// It says that it did not run them.
+    /// The runner runs the request and never answers.
+    NeverAnswer,
+    /// The runner answers that it did not run the request.
     Reject,
-    /// It breaks streams off after so many events.
+    /// The runner breaks its streams off after this number of events.
     BreakStream(u64),
-    /// Its streams stop after so many events, and stay open.
+    /// The runner's streams stop after this number of events, and stay open.
     StallStream(u64),
-    /// Each event of its streams has so many bytes more.
+    /// Each event of the runner's streams has this number of additional bytes.
     LongEvents(usize),
 }
 
-fn held(model: &&str) -> HeldModel {
+fn loaded_model(model: &&str) -> HeldModel {
     HeldModel {
         model: (*model).into(),
         version: 1,
@@ -65,53 +68,62 @@
     }
 }
 
-/// A run of a request.
+/// A run of a request at a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Id of the client's attempt.
+    /// Id that the client gave the request.
     pub request_id: String,
-    /// Headers that came with it.
+    /// Headers of the request as they reached the runner.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
-    /// When it began.
-    pub begun: Instant,
-    /// Whether it ended by itself, and was not cancelled.
-    pub whole: bool,
+    /// When the run began.
+    pub started_at: Instant,
+    /// Whether the run ended by itself and was not cancelled.
+    pub complete: bool,
 }
 
-/// A call that arrived: a request, an order, or a question for a report.
+/// A call that a runner received: a request, an order, or a call for its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
-    /// When it came.
+    /// When the runner received the call.
     pub at: Instant,
-    /// The node that it came from.
+    /// Host of the gateway that sent the call.
     pub node: IpAddr,
-    /// Whether it was a request.
+    /// Whether the call was a request, and not an order or a call for a report.
     pub is_request: bool,
 }
 
 struct State {
     record: Runner,
     fault: Option<Fault>,
-    deadly: Option<(MemoryNetwork, &'static str)>,
-    crashes: Vec<Instant>,
+    /// Network of the runner, and the body of requests that crash it.
+    crash_trigger: Option<(MemoryNetwork, &'static str)>,
+    /// Times of the crashes that requests caused.
+    crash_times: Vec<Instant>,
     runs: Vec<Run>,
-    running: usize,
-    connections: usize,
-    arrivals: u64,
+    running_requests: usize,
+    open_connections: usize,
+    /// Number of requests received, including rejected ones.
+    request_count: u64,
     calls: Vec<Call>,
-    notices: Notices,
+    signals: Signals,
     orders: Vec<(Instant, Order)>,
+    /// Number of orders yet to come whose answers are lost.
     lose_order_answers: u32,
+    /// Number of orders accepted in this incarnation.
     sequence: u64,
-    fence: u64,
+    /// Highest fencing token received in this incarnation.
+    highest_token: u64,
+    /// Whether a model is being loaded or unloaded.
     busy: bool,
-    pending: Vec<(Arc<str>, Arc<str>)>,
+    /// Models and their adapters that are being loaded.
+    pending_adapters: Vec<(Arc<str>, Arc<str>)>,
+    /// Whether an order has ever exceeded the engine's memory.
     overcommitted: bool,
 }
 
-/// A runner. Clones are the same runner.
+/// A runner of a test. Clones share their state: they are the same runner.
 #[derive(Clone)]
 pub struct RunnerStandIn {
     state: Arc<Mutex<State>>,
@@ -121,7 +133,7 @@
 }
 
 impl RunnerStandIn {
-    /// Starts a runner of `service` and records it in the store.
+    /// Starts a runner of `service` with `models` loaded and writes its entry to the store.
     pub fn start(
         network: &MemoryNetwork,
         store: &StoreStandIn,
@@ -142,34 +154,34 @@
             remaining: None,
             warming: Duration::ZERO,
             heartbeat: 0,
-            models: models.iter().map(held).collect(),
+            models: models.iter().map(loaded_model).collect(),
             copies: WeightCopies::default(),
         };
         let runner = Self {
             state: Arc::new(Mutex::new(State {
                 record,
                 fault: None,
-                deadly: None,
-                crashes: Vec::new(),
+                crash_trigger: None,
+                crash_times: Vec::new(),
                 runs: Vec::new(),
-                running: 0,
-                connections: 0,
-                arrivals: 0,
+                running_requests: 0,
+                open_connections: 0,
+                request_count: 0,
                 calls: Vec::new(),
-                notices: Notices::default(),
+                signals: Signals::default(),
                 orders: Vec::new(),
                 lose_order_answers: 0,
                 sequence: 0,
-                fence: 0,
+                highest_token: 0,
                 busy: false,
-                pending: Vec::new(),
+                pending_adapters: Vec::new(),
                 overcommitted: false,
             })),
             engine: service.engine.clone(),
             store: store.clone(),
             tasks: Arc::default(),
         };
-        runner.publish();
+        runner.publish_entry();
         runner.serve(network, address);
         runner
     }
@@ -181,30 +193,32 @@
     fn serve(&self, network: &MemoryNetwork, address: SocketAddr) {
         let mut connections = network.listen(address);
         let runner = self.clone();
-        let accepting = tokio::spawn(async move {
+        let accept_task = tokio::spawn(async move {
             while let Some((stream, node)) = connections.recv().await {
-                let served = runner.clone();
-                let open = OpenConnection::new(&runner);
-                let serving = tokio::spawn(async move {
-                    let _open = open;
-                    let service = service_fn(|request| served.clone().answer(request, node));
+                let serving_runner = runner.clone();
+                let guard = OpenConnection::new(&runner);
+                let task = tokio::spawn(async move {
+                    let _guard = guard;
+                    let service =
+                        service_fn(|request| serving_runner.clone().answer(request, node));
                     let connection = Builder::new().serve_connection(TokioIo::new(stream), service);
-                    // A caller may leave at any time.
+                    // Errors are ignored: a gateway may close the connection at any time.
                     let _ = connection.await;
                 });
-                runner.own(serving.abort_handle());
+                runner.track_task(task.abort_handle());
             }
         });
-        self.own(accepting.abort_handle());
+        self.track_task(accept_task.abort_handle());
     }
 
-    fn own(&self, task: AbortHandle) {
+    /// Keeps the handle of a task, so that a crash can end it.
+    fn track_task(&self, task: AbortHandle) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.push(task);
     }
 
-    /// Writes the runner's entry, as a heartbeat does.
-    pub fn publish(&self) {
+    /// Writes the runner's entry to the store, as a heartbeat does.
+    pub fn publish_entry(&self) {
         let record = {
             let mut state = self.lock();
             state.record.heartbeat += 1;
@@ -214,22 +228,23 @@
         self.store.put(&key, encode(&record));
     }
 
-    /// Says that it is leaving.
+    /// Sets the runner to draining and writes that to its entry in the store.
     pub fn drain(&self) {
         self.lock().record.state = RunnerState::Draining;
-        self.publish();
+        self.publish_entry();
     }
 
-    /// Dies at once; its entry stays until the platform notices.
+    /// Ends the runner at once, with all its connections. Its entry stays in the store.
     pub fn crash(&self, network: &MemoryNetwork) {
         network.unbind(self.lock().record.address.ip());
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.drain(..).for_each(|task| task.abort());
     }
 
-    /// Begins another life under its id, at its address: it holds `models`, knows
-    /// nothing of before and tells nobody yet ([`Self::publish`]).
-    pub fn start_again(&self, network: &MemoryNetwork, models: &[&str]) {
+    /// Crashes the runner and starts its next incarnation, with the same name and address. The
+    /// new incarnation has `models` loaded and no state of the former one. It does not write
+    /// its entry; [`Self::publish_entry`] does.
+    pub fn restart(&self, network: &MemoryNetwork, models: &[&str]) {
         self.crash(network);
         let address = {
             let mut state = self.lock();
@@ -237,46 +252,46 @@
             state.record.id = incarnation(&state.record.name, born);
             state.record.born = born;
             state.record.heartbeat = 0;
-            state.record.models = models.iter().map(held).collect();
+            state.record.models = models.iter().map(loaded_model).collect();
             state.record.copies = WeightCopies::default();
-            state.notices = Notices::default();
+            state.signals = Signals::default();
             state.sequence = 0;
-            state.fence = 0;
+            state.highest_token = 0;
             state.busy = false;
-            state.pending.clear();
+            state.pending_adapters.clear();
             state.record.address
         };
         self.serve(network, address);
     }
 
-    /// Fails requests from now on.
-    pub fn fail(&self, fault: Option<Fault>) {
+    /// Makes the runner fail all further requests in this way; `None` ends that.
+    pub fn set_fault(&self, fault: Option<Fault>) {
         self.lock().fault = fault;
     }
 
-    /// It crashes when it begins to run a request with this body, and is back after a
-    /// while with the models that it held.
-    pub fn crash_on(&self, network: &MemoryNetwork, body: &'static str) {
-        self.lock().deadly = Some((network.clone(), body));
+    /// Makes the runner crash when it runs a request with this body. It restarts
+    /// `RESTART_AFTER` later, with the models that it had loaded.
+    pub fn crash_on_body(&self, network: &MemoryNetwork, body: &'static str) {
+        self.lock().crash_trigger = Some((network.clone(), body));
     }
 
-    /// When requests crashed it.
-    pub fn crashes(&self) -> Vec<Instant> {
-        self.lock().crashes.clone()
+    /// Times at which requests crashed the runner.
+    pub fn crash_times(&self) -> Vec<Instant> {
+        self.lock().crash_times.clone()
     }
 
-    fn is_deadly(&self, body: &Bytes) -> bool {
+    fn triggers_crash(&self, body: &Bytes) -> bool {
         let state = self.lock();
-        let deadly = state.deadly.as_ref();
-        deadly.is_some_and(|(_, deadly)| **body == *deadly.as_bytes())
+        let trigger = state.crash_trigger.as_ref();
+        trigger.is_some_and(|(_, crashing_body)| **body == *crashing_body.as_bytes())
     }
 
-    /// Crashes a little later, if `body` is the one that does it.
-    fn crash_soon(&self, body: &Bytes) {
-        if !self.is_deadly(body) {
+    /// Crashes the runner after [`CRASH_AFTER`] and restarts it, if `body` triggers a crash.
+    fn crash_if_triggered(&self, body: &Bytes) {
+        if !self.triggers_crash(body) {
             return;
         }
-        let Some((network, _)) = self.lock().deadly.clone() else {
+        let Some((network, _)) = self.lock().crash_trigger.clone() else {
             return;
         };
         let runner = self.clone();
@@ -284,71 +299,75 @@
             sleep(CRASH_AFTER).await;
             let models: Vec<Arc<str>> = {
                 let mut state = runner.lock();
-                state.crashes.push(Instant::now());
+                state.crash_times.push(Instant::now());
                 let models = state.record.models.iter();
-                models.map(|held| held.model.clone()).collect()
+                models.map(|loaded| loaded.model.clone()).collect()
             };
             runner.crash(&network);
-            sleep(BACK_AFTER).await;
+            sleep(RESTART_AFTER).await;
             let models: Vec<&str> = models.iter().map(|model| &**model).collect();
-            runner.start_again(&network, &models);
-            runner.publish();
+            runner.restart(&network, &models);
+            runner.publish_entry();
         });
     }
 
-    /// Answers to the next `count` orders are lost; they are carried out.
+    /// Loses the answers to the next `count` orders. The orders are carried out.
     pub fn lose_order_answers(&self, count: u32) {
         self.lock().lose_order_answers = count;
     }
 
-    /// Runs that have not ended.
-    pub fn running(&self) -> usize {
-        self.lock().running
+    /// Number of requests that are running now.
+    pub fn running_requests(&self) -> usize {
+        self.lock().running_requests
     }
 
-    /// Connections that are open.
-    pub fn connections(&self) -> usize {
-        self.lock().connections
+    /// Number of connections that are open now.
+    pub fn open_connections(&self) -> usize {
+        self.lock().open_connections
     }
 
-    /// What it ran.
+    /// All runs so far, in the order in which they began.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// Where it listens.
+    /// Address at which the runner listens, the same in all its incarnations.
     pub fn address(&self) -> SocketAddr {
         self.lock().record.address
     }
 
-    /// Requests that arrived.
-    pub fn arrivals(&self) -> u64 {
-        self.lock().arrivals
+    /// Number of requests received so far, including rejected ones.
+    pub fn request_count(&self) -> u64 {
+        self.lock().request_count
     }
 
-    /// Calls that arrived, of all kinds.
+    /// Calls received so far, of all kinds, in order.
     pub fn calls(&self) -> Vec<Call> {
         self.lock().calls.clone()
     }
 
-    /// Orders that arrived.
+    /// Orders received so far, including refused ones, in order.
     pub fn orders(&self) -> Vec<Order> {
         let orders = self.timed_orders().into_iter();
         orders.map(|(_, order)| order).collect()
     }
 
-    /// Orders that arrived, and when.
+    /// Orders received so far, as in [`Self::orders`], each with the time of its arrival.
     pub fn timed_orders(&self) -> Vec<(Instant, Order)> {
         self.lock().orders.clone()
     }
 
-    /// Whether it holds `model`.
-    pub fn holds(&self, model: &str) -> bool {
+    /// Whether `model` is loaded on the runner.
+    pub fn has_loaded(&self, model: &str) -> bool {
         let state = self.lock();
-        state.record.models.iter().any(|held| &*held.model == model)
+        state
+            .record
+            .models
+            .iter()
+            .any(|loaded| &*loaded.model == model)
     }
 
-    /// Whether an order made it load more than it can hold.
+    /// Whether an order ever made the runner load more than its memory holds.
     pub fn overcommitted(&self) -> bool {
         self.lock().overcommitted
     }
@@ -357,15 +376,22 @@
         self,
         request: Request<Incoming>,
         node: IpAddr,
-    ) -> Result<Response<RunnerBody>, Broken> {
+    ) -> Result<Response<RunnerBody>, ConnectionBroken> {
         let (head, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| Broken)?.to_bytes();
-        let meant = head
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| ConnectionBroken)?
+            .to_bytes();
+        let intended_runner = head
             .headers
             .get(names::RUNNER)
             .and_then(|id| id.to_str().ok());
-        if meant != Some(&*self.lock().record.name) {
-            return Ok(status(StatusCode::MISDIRECTED_REQUEST, Bytes::new()));
+        if intended_runner != Some(&*self.lock().record.name) {
+            return Ok(status_response(
+                StatusCode::MISDIRECTED_REQUEST,
+                Bytes::new(),
+            ));
         }
         let path = head.uri.path();
         let is_request = ![names::REPORT_PATH, names::ORDER_PATH].contains(&path);
@@ -376,12 +402,12 @@
             is_request,
         });
         let mut response = match path {
-            names::REPORT_PATH => status(StatusCode::OK, encode(&self.report())),
+            names::REPORT_PATH => status_response(StatusCode::OK, encode(&self.report())),
             names::ORDER_PATH => self.clone().order(&body).await?,
             _ => self.clone().run(&head.headers, body, node).await?,
         };
-        let notices = &self.lock().notices;
-        notices.add_to(response.headers_mut(), is_request);
+        let signals = &self.lock().signals;
+        signals.add_to_headers(response.headers_mut(), is_request);
         Ok(response)
     }
 
@@ -390,49 +416,55 @@
         headers: &HeaderMap,
         body: Bytes,
         node: IpAddr,
-    ) -> Result<Response<RunnerBody>, Broken> {
+    ) -> Result<Response<RunnerBody>, ConnectionBroken> {
         let value = |name| {
             headers
                 .get(name)
                 .and_then(|value: &HeaderValue| value.to_str().ok())
         };
         let request_id = value(names::REQUEST_ID).unwrap_or_default().to_owned();
-        self.lock().arrivals += 1;
+        self.lock().request_count += 1;
         let fault = self.lock().fault;
         if fault == Some(Fault::Reject) {
-            return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE, &request_id));
+            return Ok(not_run_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                &request_id,
+            ));
         }
-        let pause = self.lock().notices.turn_away(node);
+        let pause = self.lock().signals.pause_for_request(node);
         if let Some(pause) = pause {
-            return Ok(not_now(&request_id, pause));
+            return Ok(pause_response(&request_id, pause));
         }
-        let lacks_model = value(names::MODEL).is_some_and(|model| !self.holds(model));
+        let lacks_model = value(names::MODEL).is_some_and(|model| !self.has_loaded(model));
         if self.engine.is_some() && lacks_model {
-            return Ok(not_run(StatusCode::MISDIRECTED_REQUEST, &request_id));
+            return Ok(not_run_response(
+                StatusCode::MISDIRECTED_REQUEST,
+                &request_id,
+            ));
         }
         let run = RunGuard::begin(&self, &request_id, headers, &body);
-        self.crash_soon(&body);
+        self.crash_if_triggered(&body);
         match fault {
             Some(Fault::ResetAfterRun) => {
-                sleep(PLAIN_WORK).await;
-                run.end();
-                return Err(Broken);
+                sleep(PLAIN_RUN_TIME).await;
+                run.complete();
+                return Err(ConnectionBroken);
             }
-            Some(Fault::Silent) => std::future::pending().await,
+            Some(Fault::NeverAnswer) => std::future::pending().await,
             _ => {}
         }
         if self.engine.is_some() {
             let after = value(names::AFTER_EVENT)
                 .and_then(|id| id.parse().ok())
                 .unwrap_or(0);
-            return Ok(stream(run, &request_id, after, fault));
+            return Ok(stream_response(run, &request_id, after, fault));
         }
-        sleep(PLAIN_WORK).await;
-        if self.is_deadly(&body) {
+        sleep(PLAIN_RUN_TIME).await;
+        if self.triggers_crash(&body) {
             std::future::pending::<()>().await;
         }
-        run.end();
-        let mut response = status(StatusCode::OK, body);
+        run.complete();
+        let mut response = status_response(StatusCode::OK, body);
         sign(&mut response, &request_id);
         Ok(response)
     }
@@ -444,7 +476,7 @@
             sequence: state.sequence,
             busy: state.busy,
             models: state.record.models.clone(),
-            pending_adapters: state.pending.clone(),
+            pending_adapters: state.pending_adapters.clone(),
             copies: state.record.copies.clone(),
             queued: 0,
             running: 0,
--- a/crates/standin/src/runner/orders.rs
+++ b/crates/standin/src/runner/orders.rs
@@ -1,4 +1,4 @@
-//! What a runner makes of orders.
+//! How a runner accepts, refuses and carries out orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,37 +10,40 @@
 
 use crate::dialect::decode;
 use crate::runner::RunnerStandIn;
-use crate::runner_body::{Broken, RunnerBody, status};
+use crate::runner_body::{ConnectionBroken, RunnerBody, status_response};
 
-/// Time to load an adapter.
-const ADAPTER_LOAD: Duration = Duration::from_millis(20);
+/// Time that a runner takes to load an adapter.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(20);
 
 impl RunnerStandIn {
-    pub(super) async fn order(self, body: &[u8]) -> Result<Response<RunnerBody>, Broken> {
+    /// Answers an order; an accepted one is carried out in the background.
+    pub(super) async fn order(self, body: &[u8]) -> Result<Response<RunnerBody>, ConnectionBroken> {
         let order: Order = decode(body).expect("orders are well formed");
-        let code = self.take_order(&order);
+        let code = self.accept_order(&order);
         if code == StatusCode::ACCEPTED {
             tokio::spawn(self.clone().carry_out(order.action));
         }
-        let lost = {
+        let answer_is_lost = {
             let mut state = self.lock();
-            let lost = state.lose_order_answers > 0;
+            let is_lost = state.lose_order_answers > 0;
             state.lose_order_answers = state.lose_order_answers.saturating_sub(1);
-            lost
+            is_lost
         };
-        if lost {
+        if answer_is_lost {
             std::future::pending::<()>().await;
         }
-        Ok(status(code, Bytes::new()))
+        Ok(status_response(code, Bytes::new()))
     }
 
-    fn take_order(&self, order: &Order) -> StatusCode {
+    /// Records an order. Returns the status code that says whether it is accepted; an accepted
+    /// order changes the runner's sequence number.
+    fn accept_order(&self, order: &Order) -> StatusCode {
         let mut state = self.lock();
         state.orders.push((Instant::now(), order.clone()));
-        if order.fencing_token < state.fence {
+        if order.fencing_token < state.highest_token {
             return StatusCode::PRECONDITION_FAILED;
         }
-        state.fence = order.fencing_token;
+        state.highest_token = order.fencing_token;
         if state.busy || order.expected_sequence != state.sequence {
             return StatusCode::CONFLICT;
         }
@@ -51,34 +54,37 @@
                 let engine = self.engine.as_ref().expect("only engines take orders");
                 let weight =
                     |name: &Arc<str>| engine.models.get(name).map_or(0.0, |spec| spec.weights_mb);
-                let held: f64 = state
+                let loaded_weights: f64 = state
                     .record
                     .models
                     .iter()
-                    .map(|held| weight(&held.model))
+                    .map(|loaded| weight(&loaded.model))
                     .sum();
-                if held + weight(model) > engine.memory_mb {
+                if loaded_weights + weight(model) > engine.memory_mb {
                     state.overcommitted = true;
                 }
             }
             OrderAction::UnloadModel { .. } => state.busy = true,
             OrderAction::LoadAdapter { model, adapter } => {
-                state.pending.push((model.clone(), adapter.clone()));
+                state
+                    .pending_adapters
+                    .push((model.clone(), adapter.clone()));
             }
             OrderAction::UnloadAdapter { model, adapter } => {
-                for held in state
+                for loaded in state
                     .record
                     .models
                     .iter_mut()
-                    .filter(|held| held.model == *model)
+                    .filter(|loaded| loaded.model == *model)
                 {
-                    held.adapters.retain(|name| name != adapter);
+                    loaded.adapters.retain(|name| name != adapter);
                 }
             }
         }
         StatusCode::ACCEPTED
     }
 
+    /// Applies an accepted order after the time that it takes, and writes the runner's entry.
     async fn carry_out(self, action: OrderAction) {
         let load_time = self
             .engine
@@ -87,7 +93,7 @@
             .map_or(Duration::ZERO, |spec| spec.remote_load);
         match &action {
             OrderAction::LoadModel { .. } => sleep(load_time).await,
-            OrderAction::LoadAdapter { .. } => sleep(ADAPTER_LOAD).await,
+            OrderAction::LoadAdapter { .. } => sleep(ADAPTER_LOAD_TIME).await,
             _ => {}
         }
         {
@@ -103,24 +109,24 @@
                 }
                 OrderAction::UnloadModel { model } => {
                     state.busy = false;
-                    state.record.models.retain(|held| held.model != model);
+                    state.record.models.retain(|loaded| loaded.model != model);
                 }
                 OrderAction::LoadAdapter { model, adapter } => {
                     state
-                        .pending
+                        .pending_adapters
                         .retain(|key| *key != (model.clone(), adapter.clone()));
-                    for held in state
+                    for loaded in state
                         .record
                         .models
                         .iter_mut()
-                        .filter(|held| held.model == model)
+                        .filter(|loaded| loaded.model == model)
                     {
-                        held.adapters.push(adapter.clone());
+                        loaded.adapters.push(adapter.clone());
                     }
                 }
                 OrderAction::UnloadAdapter { .. } => {}
             }
         }
-        self.publish();
+        self.publish_entry();
     }
 }
--- a/crates/standin/src/runner_body.rs
+++ b/crates/standin/src/runner_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of a runner's answers, whole or broken.
+//! A runner's answers: plain ones, rejections and event streams, which may break off.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -14,49 +14,51 @@
 use crate::dialect::names;
 use crate::runner::{Fault, RunGuard};
 
-/// Time until a stream's first event.
-const FIRST_EVENT: Duration = Duration::from_millis(60);
-/// Time between a stream's events.
+/// Time from the start of a stream to its first event.
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(60);
+/// Time between two events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(20);
-/// Events of a stream.
+/// Number of events of a complete stream.
 pub const STREAM_EVENTS: u64 = 40;
 
-/// Ends a connection without an answer.
+/// Error of a handler or body that makes the server break off the connection.
 #[derive(Debug)]
-pub struct Broken;
+pub struct ConnectionBroken;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for ConnectionBroken {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the runner broke off")
+        formatter.write_str("the runner broke the connection off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionBroken {}
 
-impl From<Infallible> for Broken {
+impl From<Infallible> for ConnectionBroken {
     fn from(never: Infallible) -> Self {
         match never {}
     }
 }
 
-/// A runner's body.
-pub struct RunnerBody(mpsc::Receiver<Result<Bytes, Broken>>);
+/// Body of a runner's answer; its chunks come from a channel. An error breaks the connection
+/// off.
+pub struct RunnerBody(mpsc::Receiver<Result<Bytes, ConnectionBroken>>);
 
 impl Body for RunnerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = ConnectionBroken;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionBroken>>> {
         self.0
             .poll_recv(context)
-            .map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
 
-pub fn status(code: StatusCode, body: Bytes) -> Response<RunnerBody> {
+/// Returns an answer with this status code and body.
+pub fn status_response(code: StatusCode, body: Bytes) -> Response<RunnerBody> {
     let (sender, receiver) = mpsc::channel(1);
     sender.try_send(Ok(body)).expect("the channel is empty");
     let mut response = Response::new(RunnerBody(receiver));
@@ -64,6 +66,7 @@
     response
 }
 
+/// Adds the request id and a signature to an answer.
 pub fn sign(response: &mut Response<RunnerBody>, request_id: &str) {
     let value = HeaderValue::from_str(request_id).expect("ids are plain text");
     let headers = response.headers_mut();
@@ -71,8 +74,9 @@
     headers.insert(names::SIGNATURE, HeaderValue::from_static("signed"));
 }
 
-pub fn not_run(code: StatusCode, request_id: &str) -> Response<RunnerBody> {
-    let mut response = status(code, Bytes::new());
+/// Returns a signed answer which says that the runner did not run the request.
+pub fn not_run_response(code: StatusCode, request_id: &str) -> Response<RunnerBody> {
+    let mut response = status_response(code, Bytes::new());
     sign(&mut response, request_id);
     response
         .headers_mut()
@@ -80,15 +84,18 @@
     response
 }
 
-/// The runner did not run it, and wants nothing of the node for `pause`.
-pub fn not_now(request_id: &str, pause: Duration) -> Response<RunnerBody> {
-    let mut response = not_run(StatusCode::SERVICE_UNAVAILABLE, request_id);
+/// Returns a signed answer which says that the runner did not run the request, and requests a
+/// pause of the node.
+pub fn pause_response(request_id: &str, pause: Duration) -> Response<RunnerBody> {
+    let mut response = not_run_response(StatusCode::SERVICE_UNAVAILABLE, request_id);
     let value = HeaderValue::from(pause.as_millis() as u64);
     response.headers_mut().insert(names::PAUSE, value);
     response
 }
 
-pub fn stream(
+/// Returns a signed answer that streams the events after event number `after`, with the given
+/// fault. After the last event, `run` is recorded as complete.
+pub fn stream_response(
     run: RunGuard,
     request_id: &str,
     after: u64,
@@ -96,22 +103,22 @@
 ) -> Response<RunnerBody> {
     let (sender, receiver) = mpsc::channel(1);
     tokio::spawn(async move {
-        sleep(FIRST_EVENT).await;
+        sleep(FIRST_EVENT_DELAY).await;
         for (sent, id) in (after + 1..=STREAM_EVENTS).enumerate() {
             let sent = sent as u64;
             if matches!(fault, Some(Fault::BreakStream(limit)) if sent >= limit) {
-                let _ = sender.send(Err(Broken)).await;
+                let _ = sender.send(Err(ConnectionBroken)).await;
                 return;
             }
             if matches!(fault, Some(Fault::StallStream(limit)) if sent >= limit) {
                 sender.closed().await;
                 return;
             }
-            let more = match fault {
+            let padding = match fault {
                 Some(Fault::LongEvents(bytes)) => "x".repeat(bytes),
                 _ => String::new(),
             };
-            let event = format!("id: {id}\ndata: token {id}{more}\n\n");
+            let event = format!("id: {id}\ndata: token {id}{padding}\n\n");
             if sender.send(Ok(event.into())).await.is_err() {
                 return;
             }
@@ -120,7 +127,7 @@
                 () = sleep(EVENT_GAP) => {}
             }
         }
-        run.end();
+        run.complete();
     });
     let mut response = Response::new(RunnerBody(receiver));
     sign(&mut response, request_id);
--- a/crates/standin/src/store/data.rs
+++ b/crates/standin/src/store/data.rs
@@ -1,4 +1,5 @@
-//! What the store holds: one order of revisions, conditions, leases, history.
+//! Data of the store: items, numbered revisions, transactions, leases and the history of
+//! changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,95 +8,103 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
+/// An item and the lease that it belongs to.
 #[derive(Clone)]
-struct Stored {
+struct LeasedItem {
     item: Item,
+    /// Id of the lease whose end removes the item; 0 for none.
     lease: u64,
 }
 
-/// Items of one page, as the platform's store gives them.
+/// Maximum number of items in a page, as in the platform's store.
 const PAGE_ITEMS: usize = 500;
 
-/// The store's data; its clock is tokio's.
+/// All data of the store at one time. Leases end by tokio's clock.
 #[derive(Clone, Default)]
-pub struct Data {
+pub struct StoreData {
     era: u32,
-    number: u64,
-    items: BTreeMap<String, Stored>,
+    /// Number of the last change or lease.
+    last_number: u64,
+    items: BTreeMap<String, LeasedItem>,
     history: Vec<Event>,
-    forgotten_up_to: u64,
+    /// Number of the last change that is removed from the history; 0 if none is.
+    compacted_up_to: u64,
+    /// Time to live and end of each lease, by its id.
     leases: BTreeMap<u64, (Duration, Instant)>,
 }
 
-impl Data {
-    /// The era.
+impl StoreData {
+    /// Era of the store: the number of times that it was restored from a backup.
     pub(super) fn era(&self) -> u32 {
         self.era
     }
 
-    /// Goes back to `copy`, in a new era.
-    pub(super) fn restore(&mut self, copy: &Data) {
+    /// Replaces all data by `backup` and begins a new era.
+    pub(super) fn restore(&mut self, backup: &StoreData) {
         let era = self.era + 1;
-        *self = copy.clone();
+        *self = backup.clone();
         self.era = era;
     }
 
-    /// The revision of the last change.
+    /// Revision of the last change, in the current era.
     pub(super) fn revision(&self) -> Revision {
-        Revision::new(self.era, self.number)
+        Revision::new(self.era, self.last_number)
     }
 
+    /// Returns the next page of items under `prefix`, with keys after `after`.
     fn page(&self, prefix: &str, after: Option<&str>) -> StoreAnswer {
-        let mut found = self
+        let mut remaining = self
             .items
             .values()
             .map(|stored| &stored.item)
             .filter(|item| item.key.starts_with(prefix))
             .filter(|item| after.is_none_or(|after| *item.key > *after));
-        let items = found.by_ref().take(PAGE_ITEMS).cloned();
-        let items = items.map(|item| self.in_this_era(item)).collect();
+        let items = remaining.by_ref().take(PAGE_ITEMS).cloned();
+        let items = items.map(|item| self.with_current_era(item)).collect();
         StoreAnswer::Page {
             items,
-            more: found.next().is_some(),
+            more: remaining.next().is_some(),
             revision: self.revision(),
         }
     }
 
-    /// An answer names one era, whenever what it shows was written.
-    fn in_this_era(&self, item: Item) -> Item {
+    /// Returns the item with the current era in its revision: all revisions of an answer have
+    /// the same era, also those of items written in an earlier one.
+    fn with_current_era(&self, item: Item) -> Item {
         Item {
             revision: Revision::new(self.era, item.revision.number),
             ..item
         }
     }
 
-    /// The value under `key`.
+    /// Returns the value under `key`; `None` if there is no such item.
     pub(super) fn get(&self, key: &str) -> Option<Bytes> {
         self.items.get(key).map(|stored| stored.item.value.clone())
     }
 
-    /// Forgets all changes so far, but not what they led to.
-    pub(super) fn forget_history(&mut self) {
-        self.forgotten_up_to = self.number;
+    /// Removes all changes so far from the history. The items stay.
+    pub(super) fn compact_history(&mut self) {
+        self.compacted_up_to = self.last_number;
         self.history.clear();
     }
 
-    /// Writes `key`; it goes with `lease` unless that is 0.
+    /// Writes an item. It is removed when `lease` ends; 0 stands for no lease.
     pub(super) fn write(&mut self, key: &str, value: Bytes, lease: u64) {
-        self.number += 1;
+        self.last_number += 1;
         let item = Item {
             key: key.to_owned(),
             value,
             revision: self.revision(),
         };
         self.history.push(Event::Written(item.clone()));
-        self.items.insert(key.to_owned(), Stored { item, lease });
+        self.items
+            .insert(key.to_owned(), LeasedItem { item, lease });
     }
 
-    /// Removes `key` if it is there.
+    /// Removes the item under `key`, if there is one.
     pub(super) fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
-            self.number += 1;
+            self.last_number += 1;
             self.history.push(Event::Removed {
                 key: key.to_owned(),
                 revision: self.revision(),
@@ -103,16 +112,16 @@
         }
     }
 
-    /// Ends leases whose time is up.
-    pub(super) fn expire(&mut self) {
+    /// Ends leases that were not renewed in time, and removes their items.
+    pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, end))| *end <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
@@ -130,11 +139,12 @@
         }
     }
 
-    /// Changes of keys under `prefix` after a revision.
+    /// Returns the changes of keys under `prefix` after a revision. Fails if the history does
+    /// not reach back to it, or if it is in the future.
     pub(super) fn events(&self, prefix: &str, after: Revision) -> Result<StoreAnswer, StoreError> {
-        // Like a store, it goes by numbers alone.
+        // Only numbers are compared, as in the platform's store: the era is ignored.
         let after = after.number;
-        if after < self.forgotten_up_to || after > self.number {
+        if after < self.compacted_up_to || after > self.last_number {
             return Err(StoreError::HistoryLost);
         }
         let events = self
@@ -150,7 +160,7 @@
             })
             .cloned()
             .map(|event| match event {
-                Event::Written(item) => Event::Written(self.in_this_era(item)),
+                Event::Written(item) => Event::Written(self.with_current_era(item)),
                 Event::Removed { key, revision } => Event::Removed {
                     key,
                     revision: Revision::new(self.era, revision.number),
@@ -163,15 +173,15 @@
         })
     }
 
-    /// Carries a call out that needs no waiting.
+    /// Executes a call. Watches are answered elsewhere, as they wait for changes.
     pub(super) fn execute(&mut self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
         match call {
             StoreCall::Range { prefix, after, .. } => Ok(self.page(prefix, after.as_deref())),
-            StoreCall::Watch { .. } => unreachable!("watches wait"),
+            StoreCall::Watch { .. } => unreachable!("watches are answered by the stand-in"),
             StoreCall::Commit(transaction) => self.commit(transaction),
             StoreCall::GrantLease { time_to_live } => {
-                self.number += 1;
-                let lease = self.number;
+                self.last_number += 1;
+                let lease = self.last_number;
                 self.leases
                     .insert(lease, (*time_to_live, Instant::now() + *time_to_live));
                 Ok(StoreAnswer::Lease {
@@ -194,15 +204,16 @@
         }
     }
 
+    /// Executes a transaction; if one of its conditions fails, it changes nothing.
     fn commit(&mut self, transaction: &Transaction) -> Result<StoreAnswer, StoreError> {
-        let holds = transaction.conditions.iter().all(|(key, revision)| {
-            let known = self
+        let conditions_hold = transaction.conditions.iter().all(|(key, revision)| {
+            let current = self
                 .items
                 .get(key)
                 .map(|stored| stored.item.revision.number);
-            known == revision.map(|revision| revision.number)
+            current == revision.map(|revision| revision.number)
         });
-        if !holds {
+        if !conditions_hold {
             return Ok(StoreAnswer::Conflict);
         }
         let leases = transaction.writes.iter().map(|write| write.lease);
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The key-value store: what it holds ([`data`]), its watches, and what goes wrong:
-//! outages, callers that are refused, answers lost after the change was done.
+//! The key-value store: its [`data`], its watches, and its faults: outages, refused hosts,
+//! slow answers, and answers that are lost after the change was made.
 
 mod data;
 
@@ -24,47 +24,50 @@
 
 use crate::dialect::{decode, encode, error_status, names};
 use crate::network::MemoryNetwork;
-pub use crate::store::data::Data;
+pub use crate::store::data::StoreData;
 
-/// Pieces in which a slow answer is sent.
-const PIECES: usize = 20;
+/// Number of chunks in which an answer is sent if there is a delay before each chunk.
+const ANSWER_CHUNKS: usize = 20;
 
 type AnswerBody = BoxBody<Bytes, Infallible>;
 
-/// Time that the store takes for an answer, unless it is slow.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
+/// Time that the store takes for an answer, without [`StoreStandIn::set_extra_latency`].
+const ANSWER_LATENCY: Duration = Duration::from_millis(4);
 
-fn pieces(mut bytes: Bytes) -> Vec<Bytes> {
-    let size = bytes.len().div_ceil(PIECES);
-    let mut pieces = Vec::with_capacity(PIECES);
+fn split_into_chunks(mut bytes: Bytes) -> Vec<Bytes> {
+    let size = bytes.len().div_ceil(ANSWER_CHUNKS);
+    let mut chunks = Vec::with_capacity(ANSWER_CHUNKS);
     while !bytes.is_empty() {
-        pieces.push(bytes.split_to(size.min(bytes.len())));
+        chunks.push(bytes.split_to(size.min(bytes.len())));
     }
-    pieces
+    chunks
 }
 
 #[derive(Default)]
 struct State {
-    data: Data,
+    data: StoreData,
     faults: Faults,
-    by_kind: BTreeMap<&'static str, u64>,
+    /// Number of calls received so far, by kind.
+    calls_by_kind: BTreeMap<&'static str, u64>,
 }
 
-/// What goes wrong with the store's answers.
+/// Faults of the store's answers.
 #[derive(Default)]
 struct Faults {
     down: bool,
-    refused: BTreeSet<IpAddr>,
-    lose_answers: u32,
-    slow_by: Duration,
+    refused_hosts: BTreeSet<IpAddr>,
+    /// Number of changes yet to come whose answers are lost.
+    lose_change_answers: u32,
+    extra_latency: Duration,
     time_per_item: Duration,
-    piece_pause: Duration,
+    chunk_delay: Duration,
 }
 
-/// The store. Clones are the same store.
+/// The store of a test. Clones share their state: they are the same store.
 #[derive(Clone)]
 pub struct StoreStandIn {
     state: Arc<Mutex<State>>,
+    /// Revision of the last change; wakes the watches.
     changed: watch::Sender<Revision>,
 }
 
@@ -77,7 +80,7 @@
     }
 }
 
-fn kind(call: &StoreCall) -> &'static str {
+fn call_kind(call: &StoreCall) -> &'static str {
     match call {
         StoreCall::Range { stale: true, .. } => "read_stale",
         StoreCall::Range { .. } => "read",
@@ -91,7 +94,7 @@
 
 impl State {
     fn count(&mut self, call: &StoreCall) {
-        *self.by_kind.entry(kind(call)).or_default() += 1;
+        *self.calls_by_kind.entry(call_kind(call)).or_default() += 1;
     }
 }
 
@@ -100,7 +103,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves on `address`.
+    /// Serves calls at `address` from now on.
     pub fn serve(&self, network: &MemoryNetwork, address: SocketAddr) {
         let mut connections = network.listen(address);
         let store = self.clone();
@@ -110,101 +113,103 @@
                 tokio::spawn(async move {
                     let service = service_fn(|request| store.clone().answer(request, caller));
                     let connection = Builder::new().serve_connection(TokioIo::new(stream), service);
-                    // A caller may leave at any time.
+                    // Errors are ignored: a gateway may close the connection at any time.
                     let _ = connection.await;
                 });
             }
         });
     }
 
-    /// Whether the store gives no answers.
+    /// Sets whether the store is down: it takes calls and does not answer them.
     pub fn set_down(&self, down: bool) {
         self.lock().faults.down = down;
     }
 
-    /// Refuses every call of `caller`, or serves it again.
-    pub fn refuse(&self, caller: IpAddr, refused: bool) {
+    /// Sets whether the store answers every call of the host `caller` with an error.
+    pub fn set_refused(&self, caller: IpAddr, refused: bool) {
         let mut state = self.lock();
         if refused {
-            state.faults.refused.insert(caller);
+            state.faults.refused_hosts.insert(caller);
         } else {
-            state.faults.refused.remove(&caller);
+            state.faults.refused_hosts.remove(&caller);
         }
     }
 
-    /// The answers to the next `count` changes are lost.
-    pub fn lose_answers(&self, count: u32) {
-        self.lock().faults.lose_answers = count;
+    /// Loses the answers to the next `count` changes. The changes are made.
+    pub fn lose_change_answers(&self, count: u32) {
+        self.lock().faults.lose_change_answers = count;
     }
 
-    /// Time that each answer takes beyond the usual one.
-    pub fn set_slow_by(&self, time: Duration) {
-        self.lock().faults.slow_by = time;
+    /// Sets the time that each answer takes in addition to the usual one.
+    pub fn set_extra_latency(&self, time: Duration) {
+        self.lock().faults.extra_latency = time;
     }
 
-    /// Time that each item or event of an answer takes, as over a slow link.
+    /// Sets the time that each item or event of an answer adds, as over a slow link. The
+    /// answer then arrives all at once.
     pub fn set_time_per_item(&self, time: Duration) {
         self.lock().faults.time_per_item = time;
     }
 
-    /// Pause before each of the [`PIECES`] in which an answer is sent, as over a
-    /// link that is slow but steady.
-    pub fn set_piece_pause(&self, pause: Duration) {
-        self.lock().faults.piece_pause = pause;
+    /// Sets the delay before each of the `ANSWER_CHUNKS` chunks of an answer, as over a link
+    /// that is slow but steady.
+    pub fn set_chunk_delay(&self, delay: Duration) {
+        self.lock().faults.chunk_delay = delay;
     }
 
-    /// Calls that came so far, refused ones too.
-    pub fn calls(&self) -> u64 {
-        self.lock().by_kind.values().sum()
+    /// Number of calls received so far, including refused ones.
+    pub fn call_count(&self) -> u64 {
+        self.lock().calls_by_kind.values().sum()
     }
 
-    /// Calls that came so far, by kind.
-    pub fn calls_by_kind(&self) -> BTreeMap<&'static str, u64> {
-        self.lock().by_kind.clone()
+    /// Number of calls received so far, by kind; each kind is named after the store's
+    /// operation.
+    pub fn call_counts_by_kind(&self) -> BTreeMap<&'static str, u64> {
+        self.lock().calls_by_kind.clone()
     }
 
-    /// Calls that came so far to read or to watch.
-    pub fn readings(&self) -> u64 {
+    /// Number of calls received so far that read or watch the store.
+    pub fn read_call_count(&self) -> u64 {
         let state = self.lock();
-        let of = |kind| state.by_kind.get(kind).copied().unwrap_or(0);
-        of("read") + of("read_stale") + of("watch")
+        let count_of = |kind| state.calls_by_kind.get(kind).copied().unwrap_or(0);
+        count_of("read") + count_of("read_stale") + count_of("watch")
     }
 
-    /// A copy of what it holds now.
-    pub fn copy(&self) -> Data {
+    /// Returns a backup of all data as of now, for [`Self::restore`].
+    pub fn backup(&self) -> StoreData {
         self.lock().data.clone()
     }
 
-    /// Comes back from `copy`: what was written since is gone, and its revisions are given
-    /// out again.
-    pub fn restore(&self, copy: &Data) {
-        self.lock().data.restore(copy);
-        self.notify();
+    /// Restores the store from `backup` in a new era. Later changes are lost, and their
+    /// revision numbers are used again.
+    pub fn restore(&self, backup: &StoreData) {
+        self.lock().data.restore(backup);
+        self.wake_watches();
     }
 
-    /// Forgets its history.
-    pub fn forget_history(&self) {
-        self.lock().data.forget_history();
+    /// Removes all changes so far from the history, so that watches from before them fail.
+    pub fn compact_history(&self) {
+        self.lock().data.compact_history();
     }
 
-    /// The value under `key`.
+    /// Returns the value under `key`; `None` if there is no such item.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.lock().data.get(key)
     }
 
-    /// Writes `key`, as the platform does.
+    /// Writes an item without a lease, as the platform does.
     pub fn put(&self, key: &str, value: Bytes) {
         self.lock().data.write(key, value, 0);
-        self.notify();
+        self.wake_watches();
     }
 
-    /// Removes `key`, as the platform does.
+    /// Removes the item under `key`, as the platform does.
     pub fn remove(&self, key: &str) {
         self.lock().data.remove(key);
-        self.notify();
+        self.wake_watches();
     }
 
-    fn notify(&self) {
+    fn wake_watches(&self) {
         let revision = self.lock().data.revision();
         self.changed.send_replace(revision);
     }
@@ -214,21 +219,21 @@
         request: Request<Incoming>,
         caller: IpAddr,
     ) -> Result<Response<AnswerBody>, std::io::Error> {
-        let broken = |_| std::io::Error::from(std::io::ErrorKind::BrokenPipe);
+        let broken_pipe = |_| std::io::Error::from(std::io::ErrorKind::BrokenPipe);
         let body = request
             .into_body()
             .collect()
             .await
-            .map_err(broken)?
+            .map_err(broken_pipe)?
             .to_bytes();
-        let call: StoreCall = decode(&body).expect("calls are well formed");
+        let call: StoreCall = decode(&body).expect("gateways encode calls correctly");
         self.lock().count(&call);
-        let slow_by = self.lock().faults.slow_by;
-        sleep(ANSWER_TIME + slow_by).await;
+        let extra_latency = self.lock().faults.extra_latency;
+        sleep(ANSWER_LATENCY + extra_latency).await;
         if self.lock().faults.down {
             std::future::pending::<()>().await;
         }
-        let result = if self.lock().faults.refused.contains(&caller) {
+        let result = if self.lock().faults.refused_hosts.contains(&caller) {
             Err(StoreError::Unavailable)
         } else {
             self.execute(&call).await
@@ -254,16 +259,16 @@
     }
 
     fn body(&self, bytes: Bytes) -> AnswerBody {
-        let pause = self.lock().faults.piece_pause;
-        if pause.is_zero() || bytes.is_empty() {
+        let delay = self.lock().faults.chunk_delay;
+        if delay.is_zero() || bytes.is_empty() {
             return Full::new(bytes).boxed();
         }
-        let pieces = pieces(bytes);
-        let sent = stream::iter(pieces).then(move |piece| async move {
-            sleep(pause).await;
-            Ok(Frame::data(piece))
+        let chunks = split_into_chunks(bytes);
+        let frames = stream::iter(chunks).then(move |chunk| async move {
+            sleep(delay).await;
+            Ok(Frame::data(chunk))
         });
-        BodyExt::boxed(StreamBody::new(sent))
+        BodyExt::boxed(StreamBody::new(frames))
     }
 
     fn transfer_time(&self, answer: &StoreAnswer) -> Duration {
@@ -275,18 +280,19 @@
         self.lock().faults.time_per_item * items as u32
     }
 
+    /// Whether the answer to `call` is lost; counts it if so.
     fn loses_answer(&self, call: &StoreCall) -> bool {
         let mut state = self.lock();
-        let changes = matches!(call, StoreCall::Commit(_) | StoreCall::GrantLease { .. });
-        if !changes || state.faults.lose_answers == 0 {
+        let is_change = matches!(call, StoreCall::Commit(_) | StoreCall::GrantLease { .. });
+        if !is_change || state.faults.lose_change_answers == 0 {
             return false;
         }
-        state.faults.lose_answers -= 1;
+        state.faults.lose_change_answers -= 1;
         true
     }
 
     async fn execute(&self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
-        self.expire();
+        self.expire_leases();
         if let StoreCall::Watch {
             prefix,
             after,
@@ -296,13 +302,13 @@
             return self.watch(prefix, *after, *wait).await;
         }
         let result = self.lock().data.execute(call);
-        self.notify();
+        self.wake_watches();
         result
     }
 
-    fn expire(&self) {
-        self.lock().data.expire();
-        self.notify();
+    fn expire_leases(&self) {
+        self.lock().data.expire_leases();
+        self.wake_watches();
     }
 
     async fn watch(
@@ -315,13 +321,13 @@
         let until = Instant::now() + wait;
         let mut changed = self.changed.subscribe();
         loop {
-            self.lock().data.expire();
+            self.lock().data.expire_leases();
             let answer = self.lock().data.events(prefix, after)?;
             let empty = matches!(&answer, StoreAnswer::Events { events, .. } if events.is_empty());
             if !empty || Instant::now() >= until {
                 return Ok(answer);
             }
-            // Leases end without a call.
+            // The wait is short, as leases end without a call that wakes the watch.
             let _ = timeout(EXPIRY_STEP, changed.changed()).await;
         }
     }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -1,4 +1,4 @@
-//! A site: store, runners and gateways on one network.
+//! A simulated site: the store, runners and gateways on one network.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,7 +18,7 @@
 use futures_util::future::join_all;
 use tokio::time::sleep;
 
-use crate::client::{Answer, Asked, USUAL_DEADLINE, ask};
+use crate::client::{Answer, ClientRequest, DEFAULT_DEADLINE, send_request};
 use crate::dialect::{NativeDialect, encode, names};
 use crate::network::MemoryNetwork;
 use crate::runner::RunnerStandIn;
@@ -27,35 +27,38 @@
 const CALLER_PORT: u16 = 80;
 const READINESS_PORT: u16 = 81;
 const PEER_PORT: u16 = 82;
-const FIGURES_PORT: u16 = 83;
+const METRICS_PORT: u16 = 83;
+/// Zone of all gateways.
 const ZONE: &str = "zone";
-const STORE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 1);
-const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 9, 9));
+const STORE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 1);
+/// Host of all clients.
+const CLIENT_HOST: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 9, 9));
 
-/// A site.
+/// A simulated site: the store, runners and gateways on one network.
 pub struct World {
-    /// The network.
+    /// Network between all parts of the site.
     pub network: MemoryNetwork,
-    /// The store.
+    /// Key-value store of the site.
     pub store: StoreStandIn,
-    /// Runners by id.
+    /// Runners by name, including crashed and draining ones.
     pub runners: BTreeMap<String, RunnerStandIn>,
+    /// Running gateways by number.
     gateways: BTreeMap<u8, GatewayProcess>,
     configuration: Configuration,
 }
 
-/// A gateway that can be killed whole.
+/// A gateway and its tasks, all of which end when it is killed.
 struct GatewayProcess {
     gateway: Arc<Gateway>,
     tasks: TaskGroup,
 }
 
 impl World {
-    /// A site with `services` and `routes`, and no runner or gateway yet.
+    /// Returns a site with `services` and `routes`, and no runner or gateway yet.
     pub fn new(services: Vec<Service>, routes: Vec<Route>) -> Self {
         let network = MemoryNetwork::default();
         let store = StoreStandIn::default();
-        store.serve(&network, STORE);
+        store.serve(&network, STORE_ADDRESS);
         let services = services
             .into_iter()
             .map(|service| (service.name.clone(), Arc::new(service)))
@@ -74,39 +77,39 @@
             gateways: BTreeMap::new(),
             configuration,
         };
-        world.publish();
+        world.publish_configuration();
         world
     }
 
-    fn publish(&self) {
+    fn publish_configuration(&self) {
         self.store
             .put(names::CONFIGURATION_KEY, encode(&self.configuration));
     }
 
-    /// Changes the configuration; its version rises.
+    /// Changes the configuration and writes it to the store with a higher version.
     pub fn configure(&mut self, change: impl FnOnce(&mut Configuration)) {
         change(&mut self.configuration);
         self.configuration.version += 1;
-        self.publish();
+        self.publish_configuration();
     }
 
-    /// Takes the configuration away, as if the operators had not written one yet.
-    pub fn withdraw_configuration(&self) {
+    /// Removes the configuration from the store, as if the operators had not written one yet.
+    pub fn remove_configuration(&self) {
         self.store.remove(names::CONFIGURATION_KEY);
     }
 
-    /// The configuration as the operators wrote it last.
+    /// Returns the configuration as the operators wrote it last.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Starts a runner of `service` that holds `models`, in the gateways' zone.
+    /// Starts a runner of `service` with `models` loaded, in the gateways' zone.
     pub fn start_runner(&mut self, id: &str, service: &str, models: &[&str]) -> RunnerStandIn {
-        self.start_runner_in(ZONE, id, service, models)
+        self.start_runner_in_zone(ZONE, id, service, models)
     }
 
-    /// Starts a runner of `service` that holds `models`, in `zone`.
-    pub fn start_runner_in(
+    /// Starts a runner of `service` with `models` loaded, in `zone`.
+    pub fn start_runner_in_zone(
         &mut self,
         zone: &str,
         id: &str,
@@ -128,21 +131,21 @@
         runner
     }
 
-    /// Enters `count` runners of `service` into the store that hold two of its models
-    /// and have copies of four: entries only, for what nodes keep of them.
-    pub fn enter_runners(&self, service: &str, count: usize) {
+    /// Writes entries of `count` runners of `service` to the store, with two models loaded and
+    /// weight copies of four each. The runners do not exist: nothing listens at their address.
+    pub fn add_runner_entries(&self, service: &str, count: usize) {
         let service = &self.configuration.services[service];
-        let engine = service.engine.as_ref().expect("it has an engine");
+        let engine = service.engine.as_ref().expect("the service has an engine");
         let models: Vec<Arc<str>> = engine.models.keys().cloned().collect();
         for number in 0..count {
-            let chosen = |step: usize| models[(number * 7 + step) % models.len()].clone();
+            let nth_model = |step: usize| models[(number * 7 + step) % models.len()].clone();
             let name: Arc<str> = format!("i-{number:010x}").into();
-            let held = (0..2).map(|step| HeldModel {
-                model: chosen(step),
+            let loaded = (0..2).map(|step| HeldModel {
+                model: nth_model(step),
                 version: 1,
                 adapters: Vec::new(),
             });
-            let copies: Vec<Arc<str>> = (0..4).map(chosen).collect();
+            let copies: Vec<Arc<str>> = (0..4).map(nth_model).collect();
             let record = Runner {
                 id: incarnation(&name, Some(1_774_062_070_535)),
                 name,
@@ -155,7 +158,7 @@
                 remaining: None,
                 warming: Duration::ZERO,
                 heartbeat: 1,
-                models: held.collect(),
+                models: loaded.collect(),
                 copies: WeightCopies {
                     memory: copies[..2].to_vec(),
                     disk: copies,
@@ -166,18 +169,18 @@
         }
     }
 
-    /// Address of the store's host.
+    /// Returns the address of the store's host, for faults of the network.
     pub fn store_host() -> IpAddr {
-        STORE.ip()
+        STORE_ADDRESS.ip()
     }
 
-    /// Address of gateway `number`'s host.
-    pub fn host(number: u8) -> IpAddr {
+    /// Returns the address of the host of gateway `number`.
+    pub fn gateway_host(number: u8) -> IpAddr {
         IpAddr::V4(Ipv4Addr::new(10, 1, 0, number))
     }
 
-    /// Wants nothing more to be sent to the runners of `zone`, or takes that back.
-    pub fn evacuate(&self, zone: &str, evacuated: bool) {
+    /// Starts or ends the evacuation of `zone`: no request is to be sent to its runners.
+    pub fn set_evacuated(&self, zone: &str, evacuated: bool) {
         let key = format!("{}{zone}", names::EVACUATION_PREFIX);
         if evacuated {
             self.store.put(&key, Bytes::from_static(b"{}"));
@@ -186,27 +189,32 @@
         }
     }
 
-    /// Starts gateway `number` with bounds as `change` leaves them.
-    pub async fn start_gateway_with(&mut self, number: u8, change: impl FnOnce(&mut Bounds)) {
+    /// Starts gateway `number` with the default bounds, changed by `change`.
+    pub async fn start_gateway_with_bounds(
+        &mut self,
+        number: u8,
+        change: impl FnOnce(&mut Bounds),
+    ) {
         let mut settings = settings(number);
         change(&mut settings.bounds);
-        let process = self.gateway_process(number, settings).await;
+        let process = self.start_process(number, settings).await;
         self.gateways.insert(number, process);
     }
 
-    /// Starts all gateways of `numbers` at the same moment.
+    /// Starts the gateways with these numbers at the same time.
     pub async fn start_gateways(&mut self, numbers: RangeInclusive<u8>) {
-        let start = |number| self.gateway_process(number, settings(number));
+        let start = |number| self.start_process(number, settings(number));
         let started = join_all(numbers.clone().map(start)).await;
         self.gateways.extend(numbers.zip(started));
     }
 
-    async fn gateway_process(&self, number: u8, settings: NodeSettings) -> GatewayProcess {
+    /// Starts a gateway within a task group, so that all its tasks can be killed.
+    async fn start_process(&self, number: u8, settings: NodeSettings) -> GatewayProcess {
         let placing = Placing {
             policy: Program::compile(POLICY).expect("the policy is well formed"),
             switches: Switches::default(),
         };
-        let network = self.network.host(Self::host(number));
+        let network = self.network.host(Self::gateway_host(number));
         let (sender, started) = tokio::sync::oneshot::channel();
         let tasks = TaskGroup::default();
         tasks.spawn(async move {
@@ -219,39 +227,42 @@
         GatewayProcess { gateway, tasks }
     }
 
-    /// Starts gateway `number`.
+    /// Starts gateway `number` with the default bounds, and waits until it listens.
     pub async fn start_gateway(&mut self, number: u8) {
-        self.start_gateway_with(number, |_| {}).await;
+        self.start_gateway_with_bounds(number, |_| {}).await;
     }
 
-    /// Kills gateway `number`.
+    /// Kills gateway `number` with all its tasks, without a drain. Does nothing if it does not
+    /// run.
     pub fn kill_gateway(&mut self, number: u8) {
         if let Some(process) = self.gateways.remove(&number) {
-            self.network.unbind(Self::host(number));
+            self.network.unbind(Self::gateway_host(number));
             process.tasks.kill();
         }
     }
 
-    /// The running gateway `number`.
+    /// Returns the running gateway `number`.
     pub fn gateway(&self, number: u8) -> Arc<Gateway> {
         self.gateways[&number].gateway.clone()
     }
 
-    /// A caller's connection to gateway `number`.
+    /// Opens a client's connection to gateway `number`.
     pub async fn connect(&self, number: u8) -> Box<dyn ByteStream> {
-        let to = SocketAddr::new(Self::host(number), CALLER_PORT);
-        let connected = self.network.host(CLIENT).connect(to).await;
+        let to = SocketAddr::new(Self::gateway_host(number), CALLER_PORT);
+        let connected = self.network.host(CLIENT_HOST).connect(to).await;
         connected.expect("the gateway listens")
     }
 
-    /// Asks gateway `number`.
-    pub async fn ask(&self, number: u8, path: &str, id: &str, model: Option<&str>) -> Answer {
-        self.ask_within(number, path, id, model, USUAL_DEADLINE)
+    /// Sends a request to gateway `number` and returns the answer. `id` is the request id and
+    /// the body; `model` is `None` for a plain request.
+    pub async fn request(&self, number: u8, path: &str, id: &str, model: Option<&str>) -> Answer {
+        self.request_with_deadline(number, path, id, model, DEFAULT_DEADLINE)
             .await
     }
 
-    /// Asks gateway `number`, waiting for `deadline` at most.
-    pub async fn ask_within(
+    /// Sends a request with this deadline to gateway `number`, otherwise as [`Self::request`].
+    /// Only the gateway keeps the deadline.
+    pub async fn request_with_deadline(
         &self,
         number: u8,
         path: &str,
@@ -259,17 +270,18 @@
         model: Option<&str>,
         deadline: Duration,
     ) -> Answer {
-        let to = SocketAddr::new(Self::host(number), CALLER_PORT);
-        let asked = Asked {
+        let to = SocketAddr::new(Self::gateway_host(number), CALLER_PORT);
+        let client_request = ClientRequest {
             model,
             deadline,
-            ..Asked::plain(CLIENT, to, path, id)
+            ..ClientRequest::plain(CLIENT_HOST, to, path, id)
         };
-        ask(&self.network, asked).await
+        send_request(&self.network, client_request).await
     }
 
-    /// Asks gateway `number` with this body, as in each try of the same request.
-    pub async fn ask_body(
+    /// Sends a request with this body to gateway `number`, otherwise as [`Self::request`].
+    /// Retries of the same request have the same body and different ids.
+    pub async fn request_with_body(
         &self,
         number: u8,
         path: &str,
@@ -277,17 +289,18 @@
         model: Option<&str>,
         body: &str,
     ) -> Answer {
-        let to = SocketAddr::new(Self::host(number), CALLER_PORT);
-        let asked = Asked {
+        let to = SocketAddr::new(Self::gateway_host(number), CALLER_PORT);
+        let client_request = ClientRequest {
             model,
             body: Some(body),
-            ..Asked::plain(CLIENT, to, path, id)
+            ..ClientRequest::plain(CLIENT_HOST, to, path, id)
         };
-        ask(&self.network, asked).await
+        send_request(&self.network, client_request).await
     }
 
-    /// Asks gateway `number` with headers of the caller's own.
-    pub async fn ask_with(
+    /// Sends a request with further headers to gateway `number`, otherwise as
+    /// [`Self::request`].
+    pub async fn request_with_headers(
         &self,
         number: u8,
         path: &str,
@@ -295,39 +308,41 @@
         model: Option<&str>,
         extra: &[(&str, &str)],
     ) -> Answer {
-        let to = SocketAddr::new(Self::host(number), CALLER_PORT);
-        let asked = Asked {
+        let to = SocketAddr::new(Self::gateway_host(number), CALLER_PORT);
+        let client_request = ClientRequest {
             model,
             extra,
-            ..Asked::plain(CLIENT, to, path, id)
+            ..ClientRequest::plain(CLIENT_HOST, to, path, id)
         };
-        ask(&self.network, asked).await
+        send_request(&self.network, client_request).await
     }
 
-    /// The status of gateway `number`'s readiness.
-    pub async fn readiness(&self, number: u8) -> u16 {
-        let to = SocketAddr::new(Self::host(number), READINESS_PORT);
-        let asked = Asked::plain(CLIENT, to, names::READINESS_PATH, "readiness");
-        ask(&self.network, asked).await.code()
+    /// Returns the status code of the readiness check of gateway `number`.
+    pub async fn readiness_status(&self, number: u8) -> u16 {
+        let to = SocketAddr::new(Self::gateway_host(number), READINESS_PORT);
+        let client_request =
+            ClientRequest::plain(CLIENT_HOST, to, names::READINESS_PATH, "readiness");
+        send_request(&self.network, client_request).await.code()
     }
 
-    /// Gateway `number`'s figure with this name; `None` if it tells none.
-    pub async fn figure(&self, number: u8, name: &str) -> Option<f64> {
-        let to = SocketAddr::new(Self::host(number), FIGURES_PORT);
-        let asked = Asked::plain(CLIENT, to, "/metrics", "figures");
-        let answer = ask(&self.network, asked).await;
+    /// Reads a metric of gateway `number`. `name` is the start of its line, with labels if it
+    /// has any; `None` if there is no such line.
+    pub async fn metric(&self, number: u8, name: &str) -> Option<f64> {
+        let to = SocketAddr::new(Self::gateway_host(number), METRICS_PORT);
+        let client_request = ClientRequest::plain(CLIENT_HOST, to, "/metrics", "metrics");
+        let answer = send_request(&self.network, client_request).await;
         let text = String::from_utf8(answer.body.to_vec()).ok()?;
         text.lines()
             .find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// Lets `time` pass.
-    pub async fn pass(&self, time: Duration) {
+    /// Runs the site for `time` of its clock.
+    pub async fn run_for(&self, time: Duration) {
         sleep(time).await;
     }
 
-    /// Runs of the request `id` at all runners.
-    pub fn runs_of(&self, id: &str) -> usize {
+    /// Number of runs of the request `id`, over all runners.
+    pub fn run_count(&self, id: &str) -> usize {
         self.runners
             .values()
             .flat_map(RunnerStandIn::runs)
@@ -335,16 +350,16 @@
             .count()
     }
 
-    /// Runners that hold `model`.
-    pub fn replicas(&self, model: &str) -> usize {
+    /// Number of runners on which `model` is loaded.
+    pub fn replica_count(&self, model: &str) -> usize {
         self.runners
             .values()
-            .filter(|runner| runner.holds(model))
+            .filter(|runner| runner.has_loaded(model))
             .count()
     }
 }
 
-/// A site's gateways end with it: a test that plays many sites pays for one at a time.
+/// Kills the gateways of the site, so that a test with many sites runs one at a time.
 impl Drop for World {
     fn drop(&mut self) {
         for process in self.gateways.values() {
@@ -353,11 +368,13 @@
     }
 }
 
-/// One replica, and one more if it cannot be reached.
+/// Placement policy of all gateways: one replica of a model, and a second one if the first
+/// cannot be reached.
 const POLICY: &str = "fn decide(context) { #{ replicas: 2, target: 1 } }";
 
+/// Settings of gateway `number`, with the default bounds.
 fn settings(number: u8) -> NodeSettings {
-    let at = |port| SocketAddr::new(World::host(number), port);
+    let at = |port| SocketAddr::new(World::gateway_host(number), port);
     NodeSettings {
         name: format!("gateway-{number}").into(),
         zone: ZONE.into(),
@@ -368,8 +385,8 @@
         caller_address: at(CALLER_PORT),
         readiness_address: at(READINESS_PORT),
         peer_address: at(PEER_PORT),
-        metrics_address: Some(at(FIGURES_PORT)),
-        store_address: STORE,
+        metrics_address: Some(at(METRICS_PORT)),
+        store_address: STORE_ADDRESS,
         minimum_lease: Duration::from_secs(1),
         limits: MachineLimits {
             memory_bytes: 256_000_000,
@@ -402,7 +419,7 @@
     }
 }
 
-/// A plain service.
+/// Returns a service of plain runners, which take requests without a model.
 pub fn plain_service(name: &str) -> Service {
     Service {
         name: name.into(),
@@ -412,7 +429,7 @@
     }
 }
 
-/// A model service whose runners hold two of `models`.
+/// Returns a service of model engines for `models`. An engine has memory for two of them.
 pub fn engine_service(name: &str, models: &[&str]) -> Service {
     Service {
         name: name.into(),
@@ -425,15 +442,15 @@
             loads_per_second: 5.0,
             models: models
                 .iter()
-                .map(|name| (Arc::from(*name), model()))
+                .map(|name| (Arc::from(*name), one_second_model()))
                 .collect(),
         }),
         cold: None,
     }
 }
 
-/// A model that takes a second to load.
-pub fn model() -> ModelSpec {
+/// Returns a model that takes one second to load from the weight store.
+pub fn one_second_model() -> ModelSpec {
     ModelSpec {
         weights_mb: 45.0,
         remote_load: Duration::from_secs(1),
@@ -443,7 +460,7 @@
     }
 }
 
-/// A tenant whose callers know `secret`.
+/// Returns a tenant whose callers authenticate with `secret`, without a quota.
 pub fn tenant(name: &str, secret: &str) -> Tenant {
     Tenant {
         name: name.into(),
@@ -454,25 +471,25 @@
     }
 }
 
-/// A route from a path to a service.
+/// Returns a route from the path prefix `path` to a service. Streaming routes are resumable.
 pub fn route(path: &str, service: &str, kind: RequestKind) -> Route {
-    let streams = kind == RequestKind::Streaming;
+    let is_streaming = kind == RequestKind::Streaming;
     Route {
         name: path.into(),
         host: "host".into(),
         path_prefix: path.into(),
         kind,
         timeout: Some(Duration::from_secs(15)),
-        target_latency: Some(Duration::from_millis(if streams { 2000 } else { 150 })),
-        target_gap: streams.then_some(Duration::from_millis(300)),
-        stream_patience: streams.then_some(Duration::from_secs(8)),
+        target_latency: Some(Duration::from_millis(if is_streaming { 2000 } else { 150 })),
+        target_gap: is_streaming.then_some(Duration::from_millis(300)),
+        stream_patience: is_streaming.then_some(Duration::from_secs(8)),
         priority: 1,
         backends: vec![Backend {
             service: service.into(),
             weight: 1,
         }],
         maximum_attempts: 2,
-        resumable: streams,
+        resumable: is_streaming,
         public: false,
         regions: Vec::new(),
     }
--- a/crates/standin/tests/callers.rs
+++ b/crates/standin/tests/callers.rs
@@ -37,18 +37,20 @@
     for number in 1..=GATEWAYS {
         start(&mut world, number).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
 async fn start(world: &mut World, number: u8) {
     let strict = |bounds: &mut barleyspar_catalog::Bounds| bounds.revocation = Some(REVOCATION);
-    world.start_gateway_with(number, strict).await;
+    world.start_gateway_with_bounds(number, strict).await;
 }
 
 async fn ask(world: &World, number: u8, id: &str, secret: &str) -> Answer {
     let extra = [(names::CREDENTIAL, secret)];
-    world.ask_with(number, "/plain/x", id, None, &extra).await
+    world
+        .request_with_headers(number, "/plain/x", id, None, &extra)
+        .await
 }
 
 fn revoke_first(world: &mut World) {
@@ -66,7 +68,9 @@
         (names::RUNNER, "elsewhere"),
         (names::SIGNATURE, "forged"),
     ];
-    let answer = world.ask_with(1, "/plain/x", "a", None, &forged).await;
+    let answer = world
+        .request_with_headers(1, "/plain/x", "a", None, &forged)
+        .await;
     assert_eq!(answer.code(), 200);
     let runs = world.runners["plain-1"].runs();
     let value = |name: &str| {
@@ -85,16 +89,16 @@
 async fn who_has_no_known_credential_is_refused_except_on_public_routes() {
     let world = world().await;
     assert_eq!(ask(&world, 1, "a", "secret-3").await.code(), 401);
-    assert_eq!(world.ask(1, "/plain/x", "b", None).await.code(), 401);
-    assert_eq!(world.ask(1, "/open/x", "c", None).await.code(), 200);
-    assert_eq!((world.runs_of("a"), world.runs_of("b")), (0, 0));
+    assert_eq!(world.request(1, "/plain/x", "b", None).await.code(), 401);
+    assert_eq!(world.request(1, "/open/x", "c", None).await.code(), 200);
+    assert_eq!((world.run_count("a"), world.run_count("b")), (0, 0));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_credential_taken_away_is_refused_everywhere_within_the_bound() {
     let mut world = world().await;
     revoke_first(&mut world);
-    world.pass(BOUND).await;
+    world.run_for(BOUND).await;
     for number in 1..=GATEWAYS {
         assert_eq!(ask(&world, number, "a", "secret-1").await.code(), 401);
         assert_eq!(ask(&world, number, "b", "secret-2").await.code(), 200);
@@ -109,7 +113,7 @@
             .tenants
             .push(tenant("third", "secret-3").into());
     });
-    world.pass(BOUND).await;
+    world.run_for(BOUND).await;
     for number in 1..=GATEWAYS {
         assert_eq!(ask(&world, number, "a", "secret-3").await.code(), 200);
     }
@@ -123,27 +127,34 @@
         let mut world = world().await;
         cut_off(&world, victim);
         revoke_first(&mut world);
-        world.pass(REVOCATION).await;
+        world.run_for(REVOCATION).await;
         let answer = ask(&world, victim, "late", "secret-1").await;
         assert_eq!(answer.code(), 503, "gateway {victim}");
         assert!(answer.headers.contains_key("retry-after"));
-        assert_eq!(world.runs_of("late"), 0);
+        assert_eq!(world.run_count("late"), 0);
         // It sends callers to others, and cannot tell who is unknown.
-        assert_eq!(world.readiness(victim).await, 503);
+        assert_eq!(world.readiness_status(victim).await, 503);
         assert_eq!(ask(&world, victim, "who", "secret-9").await.code(), 503);
-        assert_eq!(world.ask(victim, "/open/x", "open", None).await.code(), 200);
+        assert_eq!(
+            world.request(victim, "/open/x", "open", None).await.code(),
+            200
+        );
         world.network.heal();
-        world.pass(2 * BOUND).await;
+        world.run_for(2 * BOUND).await;
         assert_eq!(ask(&world, victim, "again", "secret-1").await.code(), 401);
         assert_eq!(ask(&world, victim, "other", "secret-2").await.code(), 200);
-        assert_eq!(world.readiness(victim).await, 200);
+        assert_eq!(world.readiness_status(victim).await, 200);
     }
 }
 
 fn cut_off(world: &World, victim: u8) {
-    world.network.cut(World::host(victim), World::store_host());
+    world
+        .network
+        .cut(World::gateway_host(victim), World::store_host());
     for other in (1..=GATEWAYS).filter(|other| *other != victim) {
-        world.network.cut(World::host(victim), World::host(other));
+        world
+            .network
+            .cut(World::gateway_host(victim), World::gateway_host(other));
     }
 }
 
@@ -152,10 +163,10 @@
 async fn a_gateway_that_only_the_store_refuses_serves_on() {
     for victim in 1..=GATEWAYS {
         let mut world = world().await;
-        world.store.refuse(World::host(victim), true);
-        world.pass(4 * SECOND).await;
+        world.store.set_refused(World::gateway_host(victim), true);
+        world.run_for(4 * SECOND).await;
         revoke_first(&mut world);
-        world.pass(REVOCATION).await;
+        world.run_for(REVOCATION).await;
         assert_eq!(ask(&world, victim, "a", "secret-1").await.code(), 401);
         assert_eq!(ask(&world, victim, "b", "secret-2").await.code(), 200);
     }
@@ -166,13 +177,13 @@
     let mut world = world().await;
     revoke_first(&mut world);
     world.store.set_down(true);
-    world.pass(REVOCATION).await;
+    world.run_for(REVOCATION).await;
     for number in 1..=GATEWAYS {
         assert_eq!(ask(&world, number, "a", "secret-1").await.code(), 503);
         assert_eq!(ask(&world, number, "b", "secret-2").await.code(), 503);
     }
     world.store.set_down(false);
-    world.pass(BOUND).await;
+    world.run_for(BOUND).await;
     for number in 1..=GATEWAYS {
         assert_eq!(ask(&world, number, "c", "secret-2").await.code(), 200);
     }
@@ -183,12 +194,12 @@
 async fn a_gateway_that_starts_while_the_store_is_down_takes_over_its_peers_age() {
     let mut world = world().await;
     world.store.set_down(true);
-    world.pass(REVOCATION - SECOND).await;
+    world.run_for(REVOCATION - SECOND).await;
     world.kill_gateway(3);
     start(&mut world, 3).await;
-    world.pass(2 * SECOND).await;
+    world.run_for(2 * SECOND).await;
     assert_eq!(ask(&world, 3, "late", "secret-1").await.code(), 503);
-    assert_eq!(world.runs_of("late"), 0);
+    assert_eq!(world.run_count("late"), 0);
 }
 
 /// A request that waits for a model is not sent under a credential that was taken
@@ -197,7 +208,7 @@
 async fn a_request_that_waited_is_checked_again_when_it_is_sent() {
     let world = world().await;
     let extra = [(names::CREDENTIAL, "secret-1")];
-    let asked = world.ask_with(2, "/stream/x", "waits", Some("rare"), &extra);
+    let asked = world.request_with_headers(2, "/stream/x", "waits", Some("rare"), &extra);
     // The store takes the change before the model is there, one second later.
     let store = world.store.clone();
     let mut newer = world.configuration().clone();
@@ -209,5 +220,5 @@
     };
     let (answer, ()) = tokio::join!(asked, revoke);
     assert_eq!(answer.code(), 401);
-    assert_eq!(world.runs_of("waits"), 0);
+    assert_eq!(world.run_count("waits"), 0);
 }
--- a/crates/standin/tests/crashing_request.rs
+++ b/crates/standin/tests/crashing_request.rs
@@ -56,10 +56,10 @@
         world.start_runner(&format!("engine-{number}"), "engine", &["a"]);
     }
     for runner in world.runners.values() {
-        runner.crash_on(&world.network, DEADLY);
+        runner.crash_on_body(&world.network, DEADLY);
     }
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -76,8 +76,12 @@
     while begun.elapsed() < time {
         let gateway = answers.len() as u8 % GATEWAYS + 1;
         let id = format!("{body}-{}", begun.elapsed().as_nanos());
-        answers.push(world.ask_body(gateway, path, &id, model, body).await);
-        world.pass(pause).await;
+        answers.push(
+            world
+                .request_with_body(gateway, path, &id, model, body)
+                .await,
+        );
+        world.run_for(pause).await;
     }
     answers
 }
@@ -85,7 +89,7 @@
 /// When requests crashed runners, in order.
 fn crashes(world: &World) -> Vec<Instant> {
     let runners = world.runners.values();
-    let mut crashes: Vec<Instant> = runners.flat_map(|runner| runner.crashes()).collect();
+    let mut crashes: Vec<Instant> = runners.flat_map(|runner| runner.crash_times()).collect();
     crashes.sort();
     crashes
 }
@@ -96,7 +100,7 @@
         return 0;
     };
     let runs = world.runners.values().flat_map(|runner| runner.runs());
-    runs.filter(|run| run.body == DEADLY && run.begun > known)
+    runs.filter(|run| run.body == DEADLY && run.started_at > known)
         .count()
 }
 
@@ -124,7 +128,7 @@
     let callers = (0..u64::from(GATEWAYS)).map(|number| {
         let world = &world;
         async move {
-            world.pass(COMES_AGAIN / 7 * number as u32).await;
+            world.run_for(COMES_AGAIN / 7 * number as u32).await;
             come_again(world, STREAM, DEADLY, COMES_AGAIN, 20 * SECOND).await
         }
     });
@@ -139,8 +143,10 @@
 async fn one_try_crashes_no_third_runner() {
     for (path, model) in [STREAM, PLAIN] {
         let world = world_with(5).await;
-        world.ask_body(1, path, "once", model, DEADLY).await;
-        world.pass(SECOND).await;
+        world
+            .request_with_body(1, path, "once", model, DEADLY)
+            .await;
+        world.run_for(SECOND).await;
         assert_eq!(crashes(&world).len(), 2, "{path}");
     }
 }
@@ -156,13 +162,15 @@
         let others = (0..200_u32).map(|number| {
             let world = &world;
             async move {
-                world.pass(SECOND / 10 * number).await;
+                world.run_for(SECOND / 10 * number).await;
                 let gateway = (number % u32::from(GATEWAYS)) as u8 + 1;
                 let mut answer = Answer::none();
                 for attempt in 0..4 {
                     let (id, body) = (format!("{number}-{attempt}"), format!("{number}"));
-                    answer = world.ask_body(gateway, path, &id, model, &body).await;
-                    if answer.code() == 200 && answer.whole {
+                    answer = world
+                        .request_with_body(gateway, path, &id, model, &body)
+                        .await;
+                    if answer.code() == 200 && answer.complete {
                         break;
                     }
                 }
@@ -172,7 +180,7 @@
         let (_, others) = tokio::join!(deadly, join_all(others));
         let served = others
             .iter()
-            .filter(|answer| answer.code() == 200 && answer.whole);
+            .filter(|answer| answer.code() == 200 && answer.complete);
         assert_eq!(served.count(), others.len(), "{path}");
     }
 }
@@ -183,18 +191,18 @@
     let world = world().await;
     let crashing = async {
         for number in 1..=RUNNERS {
-            world.pass(2 * SECOND).await;
+            world.run_for(2 * SECOND).await;
             let runner = &world.runners[&format!("plain-{number}")];
             runner.crash(&world.network);
-            world.pass(2 * SECOND).await;
-            runner.start_again(&world.network, &[]);
-            runner.publish();
+            world.run_for(2 * SECOND).await;
+            runner.restart(&world.network, &[]);
+            runner.publish_entry();
         }
     };
     let callers = (0..12).map(|number| {
         let world = &world;
         async move {
-            world.pass(SECOND / 12 * number).await;
+            world.run_for(SECOND / 12 * number).await;
             come_again(world, PLAIN, "the same for all", SECOND / 50, 30 * SECOND).await
         }
     });
@@ -211,12 +219,14 @@
     let before = crashes(&world).len();
     for number in 1..=GATEWAYS {
         world.kill_gateway(number);
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         world.start_gateway(number).await;
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         let (path, model) = STREAM;
         let id = format!("again-{number}");
-        let answer = world.ask_body(number, path, &id, model, DEADLY).await;
+        let answer = world
+            .request_with_body(number, path, &id, model, DEADLY)
+            .await;
         assert_eq!(answer.code(), 503, "gateway {number}");
     }
     assert_eq!(crashes(&world).len(), before);
@@ -229,12 +239,16 @@
     let path = STREAM.0;
     let begun = Instant::now();
     let waiting = async {
-        let answer = world.ask_body(2, path, "waits", Some("b"), DEADLY).await;
+        let answer = world
+            .request_with_body(2, path, "waits", Some("b"), DEADLY)
+            .await;
         (answer, begun.elapsed())
     };
     let deadly = async {
-        world.pass(SECOND / 10).await;
-        world.ask_body(1, path, "once", Some("a"), DEADLY).await;
+        world.run_for(SECOND / 10).await;
+        world
+            .request_with_body(1, path, "once", Some("a"), DEADLY)
+            .await;
         begun.elapsed()
     };
     let ((answer, waited), found_out) = tokio::join!(waiting, deadly);
@@ -265,7 +279,7 @@
                 }
                 2 => {
                     let pair = [(); 2].map(|()| random.random_range(1..=GATEWAYS));
-                    let [one, other] = pair.map(World::host);
+                    let [one, other] = pair.map(World::gateway_host);
                     world.network.cut(one, other);
                 }
                 _ => world.network.heal(),
@@ -277,7 +291,7 @@
             };
             let gateway = running[random.random_range(0..running.len())];
             let id = format!("{step}");
-            let asked = world.ask_body(gateway, path, &id, model, DEADLY);
+            let asked = world.request_with_body(gateway, path, &id, model, DEADLY);
             // A caller that waits longer comes again elsewhere.
             let _ = tokio::time::timeout(SECOND / 2, asked).await;
         }
--- a/crates/standin/tests/feed.rs
+++ b/crates/standin/tests/feed.rs
@@ -19,7 +19,7 @@
     for number in 1..=GATEWAYS {
         world.start_gateway(number).await;
     }
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     world
 }
 
@@ -30,7 +30,7 @@
 
 async fn assert_in_force(world: &World, gateways: impl Iterator<Item = u8>, path: &str) {
     for number in gateways {
-        let answer = world.ask(number, path, path, None).await;
+        let answer = world.request(number, path, path, None).await;
         assert_eq!(answer.code(), 200, "gateway {number}, {path}");
     }
 }
@@ -38,9 +38,9 @@
 #[tokio::test(start_paused = true)]
 async fn gateways_at_rest_cost_few_calls_to_the_store() {
     let world = world().await;
-    let before = world.store.calls();
-    world.pass(60 * SECOND).await;
-    let calls = world.store.calls() - before;
+    let before = world.store.call_count();
+    world.run_for(60 * SECOND).await;
+    let calls = world.store.call_count() - before;
     // One watcher at two or three polls a second; renewals of leases besides.
     assert!(calls < 60 * 6, "{calls} calls in a minute");
 }
@@ -51,7 +51,7 @@
     for change in 0..5 {
         let path = format!("/added-{change}/");
         add_route(&mut world, &path);
-        world.pass(BOUND / 2).await;
+        world.run_for(BOUND / 2).await;
         assert_in_force(&world, 1..=GATEWAYS, &path).await;
     }
 }
@@ -62,7 +62,7 @@
         let mut world = world().await;
         world.kill_gateway(victim);
         add_route(&mut world, "/added/");
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         let others = (1..=GATEWAYS).filter(|number| *number != victim);
         assert_in_force(&world, others, "/added/").await;
     }
@@ -73,10 +73,12 @@
     for victim in 1..=GATEWAYS {
         let mut world = world().await;
         for other in (1..=GATEWAYS).filter(|number| *number != victim) {
-            world.network.cut(World::host(victim), World::host(other));
+            world
+                .network
+                .cut(World::gateway_host(victim), World::gateway_host(other));
         }
         add_route(&mut world, "/added/");
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         // The one that is cut off reaches the store, as the others do.
         assert_in_force(&world, 1..=GATEWAYS, "/added/").await;
     }
@@ -86,13 +88,13 @@
 async fn a_change_is_in_force_in_time_whichever_gateway_the_store_refuses() {
     for victim in 1..=GATEWAYS {
         let mut world = world().await;
-        world.store.refuse(World::host(victim), true);
+        world.store.set_refused(World::gateway_host(victim), true);
         add_route(&mut world, "/first/");
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         let others = || (1..=GATEWAYS).filter(|number| *number != victim);
         assert_in_force(&world, others(), "/first/").await;
         add_route(&mut world, "/second/");
-        world.pass(4 * SECOND).await;
+        world.run_for(4 * SECOND).await;
         // Its peers tell the one that is refused.
         assert_in_force(&world, 1..=GATEWAYS, "/second/").await;
     }
@@ -104,7 +106,7 @@
     world.kill_gateway(3);
     world.store.set_down(true);
     world.start_gateway(3).await;
-    world.pass(6 * SECOND).await;
+    world.run_for(6 * SECOND).await;
     assert_in_force(&world, 3..=3, "/plain/").await;
 }
 
@@ -112,9 +114,9 @@
 async fn an_outage_of_the_store_costs_few_calls() {
     let world = world().await;
     world.store.set_down(true);
-    let before = world.store.calls();
-    world.pass(10 * SECOND).await;
-    let calls = world.store.calls() - before;
+    let before = world.store.call_count();
+    world.run_for(10 * SECOND).await;
+    let calls = world.store.call_count() - before;
     let of_each = calls / u64::from(GATEWAYS);
     assert!(of_each <= 15, "{of_each} calls of each in ten seconds");
 }
@@ -130,9 +132,9 @@
         add_route(&mut world, "/again/");
     }
     add_route(&mut world, "/added/");
-    world.pass(3 * SECOND).await;
+    world.run_for(3 * SECOND).await;
     world.store.set_down(false);
-    world.pass(2 * BOUND).await;
+    world.run_for(2 * BOUND).await;
     assert_in_force(&world, 1..=GATEWAYS, "/added/").await;
 }
 
@@ -146,11 +148,11 @@
     );
     world.start_runner("plain-1", "plain", &[]);
     world.start_gateway(1).await;
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     // An answer takes two seconds, without a long pause in it.
-    world.store.set_piece_pause(SECOND / 10);
+    world.store.set_chunk_delay(SECOND / 10);
     add_route(&mut world, "/added/");
-    world.pass(3 * SECOND).await;
+    world.run_for(3 * SECOND).await;
     assert_in_force(&world, 1..=1, "/added/").await;
 }
 
@@ -162,29 +164,29 @@
     for number in 0..400 {
         world.store.put(&format!("filler/{number}"), "x".into());
     }
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     world.store.set_time_per_item(SECOND / 100);
     world.kill_gateway(1);
     world.start_gateway(1).await;
-    world.pass(SECOND).await;
-    assert_eq!(world.readiness(1).await, 200);
+    world.run_for(SECOND).await;
+    assert_eq!(world.readiness_status(1).await, 200);
 }
 
 /// Operators see how long a gateway could not show that it missed no change.
 #[tokio::test(start_paused = true)]
 async fn times_without_current_knowledge_are_counted() {
     let world = world().await;
-    let spells = || world.figure(1, "barleyspar_knowledge_old_seconds_count");
+    let spells = || world.metric(1, "barleyspar_knowledge_old_seconds_count");
     let before = spells().await.expect("the figure is told");
-    world.pass(20 * SECOND).await;
+    world.run_for(20 * SECOND).await;
     assert_eq!(spells().await, Some(before), "nothing fails");
     world.store.set_down(true);
-    world.pass(4 * SECOND).await;
+    world.run_for(4 * SECOND).await;
     world.store.set_down(false);
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     assert_eq!(spells().await, Some(before + 1.0));
     let lasted = world
-        .figure(1, "barleyspar_knowledge_old_seconds_sum")
+        .metric(1, "barleyspar_knowledge_old_seconds_sum")
         .await;
     assert!(lasted > Some(2.0), "{lasted:?}");
 }
@@ -209,7 +211,7 @@
         let mut world = world().await;
         silence_of_the_store(&mut world, half_seconds * SECOND / 2).await;
         add_route(&mut world, "/added/");
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         assert_in_force(&world, 1..=GATEWAYS, "/added/").await;
     }
 }
@@ -220,17 +222,17 @@
     for seconds in 1..=12 {
         let mut world = world().await;
         silence_of_the_store(&mut world, 6 * SECOND).await;
-        world.pass(10 * SECOND).await;
+        world.run_for(10 * SECOND).await;
         silence_of_the_store(&mut world, seconds * SECOND).await;
         add_route(&mut world, "/added/");
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         assert_in_force(&world, 1..=GATEWAYS, "/added/").await;
     }
 }
 
 async fn silence_of_the_store(world: &mut World, time: Duration) {
     world.store.set_down(true);
-    world.pass(time).await;
+    world.run_for(time).await;
     world.store.set_down(false);
 }
 
@@ -242,11 +244,13 @@
         let mut world = world().await;
         let cut_off = || (1..=GATEWAYS).filter(|number| *number != served);
         for number in cut_off() {
-            world.network.cut(World::host(number), World::store_host());
+            world
+                .network
+                .cut(World::gateway_host(number), World::store_host());
         }
-        world.pass(8 * SECOND).await;
+        world.run_for(8 * SECOND).await;
         add_route(&mut world, "/added/");
-        world.pass(2 * BOUND).await;
+        world.run_for(2 * BOUND).await;
         assert_in_force(&world, 1..=GATEWAYS, "/added/").await;
     }
 }
@@ -265,9 +269,9 @@
         for number in 1..=GATEWAYS {
             world.start_gateway(number).await;
         }
-        world.pass(seconds * SECOND).await;
+        world.run_for(seconds * SECOND).await;
         world.store.set_down(false);
-        world.pass(3 * SECOND / 2).await;
+        world.run_for(3 * SECOND / 2).await;
         assert_in_force(&world, 1..=GATEWAYS, "/plain/").await;
     }
 }
@@ -279,12 +283,12 @@
     for tenths in [5, 10, 15, 20, 30] {
         let mut world = world().await;
         let slow_by = tenths * SECOND / 10;
-        world.store.set_slow_by(slow_by);
-        world.pass(20 * SECOND).await;
+        world.store.set_extra_latency(slow_by);
+        world.run_for(20 * SECOND).await;
         for change in 0..3 {
             let path = format!("/added-{change}/");
             add_route(&mut world, &path);
-            world.pass(2 * slow_by + BOUND).await;
+            world.run_for(2 * slow_by + BOUND).await;
             assert_in_force(&world, 1..=GATEWAYS, &path).await;
         }
     }
@@ -298,13 +302,13 @@
         vec![route("/plain/", "plain", RequestKind::Idempotent)],
     );
     world.start_gateway(1).await;
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     // An answer takes ten seconds, without a long pause in it.
-    world.store.set_piece_pause(SECOND / 2);
+    world.store.set_chunk_delay(SECOND / 2);
     add_route(&mut world, "/added/");
-    let before = world.store.readings();
-    world.pass(9 * SECOND).await;
-    let readings = world.store.readings() - before;
+    let before = world.store.read_call_count();
+    world.run_for(9 * SECOND).await;
+    let readings = world.store.read_call_count() - before;
     // One may have been on its way already.
     assert!(readings <= 1, "{readings} readings");
 }
--- a/crates/standin/tests/given_up_orders.rs
+++ b/crates/standin/tests/given_up_orders.rs
@@ -11,7 +11,7 @@
 /// The gateway that orders runners.
 async fn leader(world: &World) -> u8 {
     for number in 1..=GATEWAYS {
-        if world.figure(number, "barleyspar_leading ").await == Some(1.0) {
+        if world.metric(number, "barleyspar_leading ").await == Some(1.0) {
             return number;
         }
     }
@@ -27,24 +27,27 @@
     let engine = world.start_runner("engine-1", "engine", &[]);
     for number in 1..=GATEWAYS {
         let unfenced = |bounds: &mut Bounds| bounds.fencing_enforced = false;
-        world.start_gateway_with(number, unfenced).await;
+        world.start_gateway_with_bounds(number, unfenced).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     let leader = leader(&world).await;
     let other = leader % GATEWAYS + 1;
     // The leader has a connection to the runner.
     assert_eq!(
-        world.ask(other, "/stream/x", "b", Some("b")).await.code(),
+        world
+            .request(other, "/stream/x", "b", Some("b"))
+            .await
+            .code(),
         200
     );
     let orders = engine.orders().len();
-    let host = World::host(leader);
+    let host = World::gateway_host(leader);
     world.network.cut(host, engine.address().ip());
     world
-        .ask_within(other, "/stream/x", "c", Some("c"), 2 * SECOND)
+        .request_with_deadline(other, "/stream/x", "c", Some("c"), 2 * SECOND)
         .await;
     world.kill_gateway(leader);
     world.network.heal();
-    world.pass(SECOND / 10).await;
+    world.run_for(SECOND / 10).await;
     assert_eq!(engine.orders().len(), orders);
 }
--- a/crates/standin/tests/limits.rs
+++ b/crates/standin/tests/limits.rs
@@ -56,7 +56,7 @@
         let gateway = gateways[number as usize % gateways.len()];
         let model = models.get(number as usize / gateways.len() % models.len().max(1));
         let id = format!("{}-{number}", begun.elapsed().as_nanos());
-        world.ask(gateway, path, &id, model.copied()).await
+        world.request(gateway, path, &id, model.copied()).await
     });
     join_all(asked).await
 }
@@ -86,7 +86,7 @@
         world.start_runner(&format!("plain-{number}"), "plain", &[]);
     }
     world.start_gateways(1..=gateways).await;
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -96,7 +96,7 @@
         let world = plain_world().await;
         let runner = &world.runners["plain-1"];
         ask(&world, PLAIN, 30, SECOND, &all()).await;
-        runner.name_limit(Some(limit));
+        runner.advertise_limit(Some(limit));
         let told = Instant::now() + TOLD_WITHIN;
         let answers = ask(&world, PLAIN, 30, 12 * SECOND, &all()).await;
         assert_eq!(served(&answers), answers.len(), "limit {limit}");
@@ -114,7 +114,7 @@
     let runner = &world.runners["plain-1"];
     let gateways: Vec<u8> = (1..=MANY).collect();
     ask(&world, PLAIN, 48, SECOND, &gateways).await;
-    runner.name_limit(Some(1.0));
+    runner.advertise_limit(Some(1.0));
     // News goes over relays.
     let told = Instant::now() + SECOND;
     let answers = ask(&world, PLAIN, 48, 12 * SECOND, &gateways).await;
@@ -128,7 +128,7 @@
 async fn a_gateway_that_starts_hears_of_the_limit() {
     let mut world = plain_world().await;
     let runner = world.runners["plain-1"].clone();
-    runner.name_limit(Some(1.0));
+    runner.advertise_limit(Some(1.0));
     let told = Instant::now() + TOLD_WITHIN;
     ask(&world, PLAIN, 30, 4 * SECOND, &all()).await;
     for number in all() {
@@ -146,9 +146,9 @@
 async fn a_runner_that_names_no_limit_any_more_gets_its_share_again() {
     let world = plain_world().await;
     let runner = &world.runners["plain-1"];
-    runner.name_limit(Some(1.0));
+    runner.advertise_limit(Some(1.0));
     ask(&world, PLAIN, 30, 8 * SECOND, &all()).await;
-    runner.name_limit(None);
+    runner.advertise_limit(None);
     ask(&world, PLAIN, 30, 8 * SECOND, &all()).await;
     let from = Instant::now();
     ask(&world, PLAIN, 30, 4 * SECOND, &all()).await;
@@ -162,7 +162,7 @@
         for dies in [true, false] {
             let mut world = plain_world().await;
             let runner = world.runners["plain-1"].clone();
-            runner.name_limit(Some(2.0));
+            runner.advertise_limit(Some(2.0));
             let told = Instant::now() + TOLD_WITHIN;
             ask(&world, PLAIN, 30, 4 * SECOND, &all()).await;
             let mut others = all();
@@ -171,7 +171,9 @@
                 others.retain(|number| *number != victim);
             } else {
                 for other in all().into_iter().filter(|number| *number != victim) {
-                    world.network.cut(World::host(victim), World::host(other));
+                    world
+                        .network
+                        .cut(World::gateway_host(victim), World::gateway_host(other));
                 }
             }
             let answers = ask(&world, PLAIN, 30, 6 * SECOND, &others).await;
@@ -191,7 +193,7 @@
     world.start_runner("engine-1", "engine", &["a", "b"]);
     world.start_runner("engine-2", "engine", &["c"]);
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -202,7 +204,7 @@
         let runner = &world.runners["engine-1"];
         let load = ("/stream/x", &["a"][..]);
         ask(&world, load, 6, SECOND, &all()).await;
-        runner.name_limit(Some(limit));
+        runner.advertise_limit(Some(limit));
         let told = Instant::now() + TOLD_WITHIN;
         ask(&world, load, 6, 4 * SECOND, &all()).await;
         let later = ask(&world, load, 6, 8 * SECOND, &all()).await;
@@ -219,8 +221,8 @@
     for (limit, names_to_leader) in [(0.0, true), (0.0, false), (1.0, true), (1.0, false)] {
         let world = engine_world().await;
         let runner = &world.runners["engine-1"];
-        runner.name_limit(Some(limit));
-        runner.name_limit_to_leader(names_to_leader);
+        runner.advertise_limit(Some(limit));
+        runner.advertise_limit_to_leader(names_to_leader);
         let told = Instant::now() + TOLD_WITHIN;
         // Demand that moves: each model is wanted anew while the others fall silent.
         for _ in 0..3 {
@@ -250,8 +252,8 @@
     );
     let runner = world.start_runner("engine-1", "engine", &["a"]);
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
-    runner.name_limit(Some(LIMIT));
+    world.run_for(12 * SECOND).await;
+    runner.advertise_limit(Some(LIMIT));
     let told = Instant::now() + TOLD_WITHIN;
     let answers = ask(&world, ("/stream/x", &["a"]), 6, TIME, &all()).await;
     let busiest = busiest_window(&runner.calls(), told);
@@ -298,7 +300,7 @@
         world.start_runner(&format!("engine-{number}"), "engine", held);
     }
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     let draw = |number: usize| {
         // Ranks from the squares of evenly spread numbers: the first is asked for most.
         let even = ((number + 37 * run) * 7919 % 1009) as f64 / 1009.0;
@@ -318,7 +320,7 @@
             let gateway = (number % usize::from(GATEWAYS)) as u8 + 1;
             let asked_at = Instant::now();
             let answer = world
-                .ask_with(
+                .request_with_headers(
                     gateway,
                     "/stream/x",
                     &format!("r{number}"),
@@ -331,7 +333,7 @@
     });
     let names = async {
         tokio::time::sleep_until(begun + 8 * SECOND).await;
-        world.runners[&format!("engine-{limited}")].name_limit(limit);
+        world.runners[&format!("engine-{limited}")].advertise_limit(limit);
     };
     let (answers, ()) = tokio::join!(join_all(asked), names);
     let in_time = answers.iter().filter(|in_time| **in_time);
--- a/crates/standin/tests/limits_random.rs
+++ b/crates/standin/tests/limits_random.rs
@@ -55,7 +55,7 @@
         world.start_runner("engine-2", "engine", &["c", "d"]);
         world.start_runner("engine-3", "engine", &["e"]);
         world.start_gateways(1..=GATEWAYS).await;
-        world.pass(12 * SECOND).await;
+        world.run_for(12 * SECOND).await;
         Self {
             world,
             random: StdRng::seed_from_u64(seed),
@@ -71,7 +71,7 @@
             5..7 => self.change_gateway().await,
             7 => {
                 let pair = [(); 2].map(|()| self.random.random_range(1..=GATEWAYS));
-                let [one, other] = pair.map(World::host);
+                let [one, other] = pair.map(World::gateway_host);
                 self.world.network.cut(one, other);
             }
             _ => self.world.network.heal(),
@@ -89,10 +89,10 @@
         }
         let runner = &self.world.runners[&id];
         if self.random.random_bool(0.3) {
-            return runner.name_limit(None);
+            return runner.advertise_limit(None);
         }
         let per_second = LIMITS[self.random.random_range(0..LIMITS.len())];
-        runner.name_limit(Some(per_second));
+        runner.advertise_limit(Some(per_second));
         self.spells.push(Spell {
             runner: id,
             per_second,
@@ -128,7 +128,7 @@
                 } else {
                     ("/stream/x", Some(model))
                 };
-                world.ask(gateway, path, &id, model).await
+                world.request(gateway, path, &id, model).await
             }
         });
         join_all(asked).await;
--- a/crates/standin/tests/lives.rs
+++ b/crates/standin/tests/lives.rs
@@ -24,7 +24,7 @@
     for number in 1..=2 {
         world.start_gateway(number).await;
     }
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     world
 }
 
@@ -36,20 +36,20 @@
     let world = world().await;
     let engine = &world.runners["engine-1"];
     for _ in 0..20 {
-        engine.publish();
+        engine.publish_entry();
     }
-    let answer = world.ask(1, "/stream/x", "before", Some("c")).await;
+    let answer = world.request(1, "/stream/x", "before", Some("c")).await;
     assert_eq!(answer.code(), 200);
-    world.pass(SECOND).await;
-    engine.start_again(&world.network, &["d"]);
-    engine.publish();
-    world.pass(SECOND).await;
-    let arrivals = engine.arrivals();
-    let held = world.ask(1, "/stream/x", "held", Some("d")).await;
-    assert_eq!((held.code(), engine.arrivals()), (200, arrivals + 1));
+    world.run_for(SECOND).await;
+    engine.restart(&world.network, &["d"]);
+    engine.publish_entry();
+    world.run_for(SECOND).await;
+    let arrivals = engine.request_count();
+    let held = world.request(1, "/stream/x", "held", Some("d")).await;
+    assert_eq!((held.code(), engine.request_count()), (200, arrivals + 1));
     // What only the former life held is loaded again.
-    let lost = world.ask(2, "/stream/x", "lost", Some("a")).await;
-    assert_eq!((lost.code(), lost.whole), (200, true));
+    let lost = world.request(2, "/stream/x", "lost", Some("a")).await;
+    assert_eq!((lost.code(), lost.complete), (200, true));
     assert!(!engine.overcommitted());
 }
 
@@ -59,18 +59,18 @@
     let world = world().await;
     let engine = &world.runners["engine-1"];
     world.store.set_down(true);
-    engine.start_again(&world.network, &["c", "d"]);
+    engine.restart(&world.network, &["c", "d"]);
     for model in ["a", "c", "d"] {
         world
-            .ask_within(1, "/stream/x", model, Some(model), 2 * SECOND)
+            .request_with_deadline(1, "/stream/x", model, Some(model), 2 * SECOND)
             .await;
     }
     assert!(!engine.overcommitted());
     world.store.set_down(false);
-    engine.publish();
-    world.pass(3 * SECOND).await;
-    let answer = world.ask(2, "/stream/x", "after", Some("d")).await;
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    engine.publish_entry();
+    world.run_for(3 * SECOND).await;
+    let answer = world.request(2, "/stream/x", "after", Some("d")).await;
+    assert_eq!((answer.code(), answer.complete), (200, true));
     assert!(!engine.overcommitted());
 }
 
@@ -78,14 +78,14 @@
 async fn a_runner_that_starts_again_in_the_middle_of_a_load_is_ordered_anew() {
     let world = world().await;
     let engine = &world.runners["engine-1"];
-    let asked = world.ask(1, "/stream/x", "asked", Some("c"));
+    let asked = world.request(1, "/stream/x", "asked", Some("c"));
     let restart = async {
-        world.pass(SECOND / 2).await;
-        engine.start_again(&world.network, &[]);
-        engine.publish();
+        world.run_for(SECOND / 2).await;
+        engine.restart(&world.network, &[]);
+        engine.publish_entry();
     };
     let (answer, ()) = tokio::join!(asked, restart);
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    assert_eq!((answer.code(), answer.complete), (200, true));
     assert!(!engine.overcommitted());
 }
 
@@ -94,17 +94,17 @@
 async fn a_runner_that_starts_again_is_not_blamed_for_its_former_life() {
     let world = world().await;
     let plain = &world.runners["plain-1"];
-    plain.fail(Some(Fault::ResetAfterRun));
+    plain.set_fault(Some(Fault::ResetAfterRun));
     for number in 0..6 {
         world
-            .ask(1, "/plain/x", &format!("failed-{number}"), None)
+            .request(1, "/plain/x", &format!("failed-{number}"), None)
             .await;
     }
-    plain.fail(None);
-    plain.start_again(&world.network, &[]);
-    plain.publish();
-    world.pass(SECOND / 2).await;
-    let answer = world.ask(1, "/plain/x", "after", None).await;
+    plain.set_fault(None);
+    plain.restart(&world.network, &[]);
+    plain.publish_entry();
+    world.run_for(SECOND / 2).await;
+    let answer = world.request(1, "/plain/x", "after", None).await;
     assert_eq!(answer.code(), 200);
 }
 
@@ -117,19 +117,19 @@
             .store
             .put(key, Bytes::copy_from_slice(bytes.as_bytes()));
     }
-    world.pass(SECOND).await;
-    let plain = world.ask(1, "/plain/x", "plain", None).await;
-    let stream = world.ask(2, "/stream/x", "stream", Some("a")).await;
+    world.run_for(SECOND).await;
+    let plain = world.request(1, "/plain/x", "plain", None).await;
+    let stream = world.request(2, "/stream/x", "stream", Some("a")).await;
     assert_eq!((plain.code(), stream.code()), (200, 200));
     // One that takes a runner's own entry makes it a runner that nobody knows.
     world
         .store
         .put("runner/plain-1", Bytes::from_static(b"\x01"));
-    world.pass(SECOND).await;
-    let refused = world.ask(1, "/plain/x", "refused", None).await;
+    world.run_for(SECOND).await;
+    let refused = world.request(1, "/plain/x", "refused", None).await;
     assert_eq!(refused.code(), 503);
-    world.runners["plain-1"].publish();
-    world.pass(SECOND).await;
-    let again = world.ask(1, "/plain/x", "again", None).await;
+    world.runners["plain-1"].publish_entry();
+    world.run_for(SECOND).await;
+    let again = world.request(1, "/plain/x", "again", None).await;
     assert_eq!(again.code(), 200);
 }
--- a/crates/standin/tests/quota.rs
+++ b/crates/standin/tests/quota.rs
@@ -39,9 +39,9 @@
         world.start_runner(&format!("plain-{number}"), "plain", &[]);
     }
     for number in 1..=GATEWAYS {
-        world.start_gateway_with(number, set_bounds).await;
+        world.start_gateway_with_bounds(number, set_bounds).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -65,7 +65,9 @@
         let id = format!("{run}-{number}");
         asked.push(async move {
             let extra = [(names::CREDENTIAL, "secret-1")];
-            world.ask_with(gateway, "/plain/x", &id, None, &extra).await
+            world
+                .request_with_headers(gateway, "/plain/x", &id, None, &extra)
+                .await
         });
         if asked.len() == 10 {
             count(&mut outcome, std::mem::take(&mut asked)).await;
@@ -120,7 +122,9 @@
     );
     assert_eq!(outcome.other, 0);
     let free = [(names::CREDENTIAL, "secret-2")];
-    let answer = world.ask_with(1, "/plain/x", "free", None, &free).await;
+    let answer = world
+        .request_with_headers(1, "/plain/x", "free", None, &free)
+        .await;
     assert_eq!(answer.code(), 200);
 }
 
@@ -149,7 +153,9 @@
     for victim in 1..=GATEWAYS {
         let world = world().await;
         for other in all().into_iter().filter(|number| *number != victim) {
-            world.network.cut(World::host(victim), World::host(other));
+            world
+                .network
+                .cut(World::gateway_host(victim), World::gateway_host(other));
         }
         let outcome = send(&world, 80, WINDOW, &all(), "a").await;
         assert!(
@@ -169,14 +175,14 @@
 async fn what_did_not_run_does_not_count() {
     let world = world().await;
     for runner in world.runners.values() {
-        runner.fail(Some(barleyspar_standin::Fault::Reject));
+        runner.set_fault(Some(barleyspar_standin::Fault::Reject));
     }
     let refused = send(&world, 80, SECOND / 2, &[1], "a").await;
     assert_eq!(refused.served, 0);
     for runner in world.runners.values() {
-        runner.fail(None);
+        runner.set_fault(None);
     }
-    world.pass(SECOND / 2).await;
+    world.run_for(SECOND / 2).await;
     let outcome = send(&world, 80, SECOND / 4, &[1], "b").await;
     assert_eq!(outcome.limited, 0);
 }
--- a/crates/standin/tests/readers.rs
+++ b/crates/standin/tests/readers.rs
@@ -35,9 +35,9 @@
     world.start_runner("plain-1", "plain", &[]);
     let engine = world.start_runner("engine-1", "engine", &["a"]);
     // Forty of them are more than all buffers on the way hold.
-    engine.fail(Some(Fault::LongEvents(64 * 1024)));
+    engine.set_fault(Some(Fault::LongEvents(64 * 1024)));
     world.start_gateway(1).await;
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     world
 }
 
@@ -75,13 +75,21 @@
         connections.push(send(&world, path, id, body).await);
     }
     let runner = &world.runners[runner];
-    world.pass(SECOND / 2).await;
-    assert!(runner.connections() >= CALLERS);
-    world.pass(DEADLINE).await;
-    assert_eq!(runner.running(), 0, "places are held at the runner");
+    world.run_for(SECOND / 2).await;
+    assert!(runner.open_connections() >= CALLERS);
+    world.run_for(DEADLINE).await;
+    assert_eq!(
+        runner.running_requests(),
+        0,
+        "places are held at the runner"
+    );
     // The leader may keep one for its questions.
-    assert!(runner.connections() <= 1, "{}", runner.connections());
-    world.pass(IDLE_TIMEOUT).await;
+    assert!(
+        runner.open_connections() <= 1,
+        "{}",
+        runner.open_connections()
+    );
+    world.run_for(IDLE_TIMEOUT).await;
     for connection in connections {
         let (bytes, whole) = read(connection).await;
         assert!(bytes > 0 && !whole, "{bytes} bytes, whole: {whole}");
--- a/crates/standin/tests/relays.rs
+++ b/crates/standin/tests/relays.rs
@@ -25,7 +25,7 @@
     for number in 1..=GATEWAYS {
         world.start_gateway(number).await;
     }
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     world
 }
 
@@ -49,8 +49,8 @@
 /// Asks for `model` at `number`; how long that took.
 async fn time_of(world: &World, number: u8, id: &str, model: &str) -> Duration {
     let asked = Instant::now();
-    let answer = world.ask(number, "/stream/x", id, Some(model)).await;
-    assert_eq!((answer.code(), answer.whole), (200, true), "{id}");
+    let answer = world.request(number, "/stream/x", id, Some(model)).await;
+    assert_eq!((answer.code(), answer.complete), (200, true), "{id}");
     asked.elapsed()
 }
 
@@ -64,14 +64,14 @@
     let asked = join_all(asked).await;
     let answers = asked
         .iter()
-        .map(|(number, id)| world.ask(*number, "/stream/x", id, Some("f")));
+        .map(|(number, id)| world.request(*number, "/stream/x", id, Some("f")));
     let answers = join_all(answers).await;
     assert!(
         answers
             .iter()
-            .all(|answer| answer.code() == 200 && answer.whole)
+            .all(|answer| answer.code() == 200 && answer.complete)
     );
-    assert_eq!(world.replicas("f"), 1);
+    assert_eq!(world.replica_count("f"), 1);
 }
 
 #[tokio::test(start_paused = true)]
@@ -94,7 +94,7 @@
         .filter(|number| number.is_multiple_of(5) && *number != leader)
         .collect();
     killed.iter().for_each(|number| world.kill_gateway(*number));
-    world.pass(3 * SECOND).await;
+    world.run_for(3 * SECOND).await;
     time_of(&world, leader, "first", "g").await;
     for number in (1..=GATEWAYS).filter(|number| !killed.contains(number)) {
         let took = time_of(&world, number, &format!("at-{number}"), "g").await;
--- a/crates/standin/tests/reports.rs
+++ b/crates/standin/tests/reports.rs
@@ -21,14 +21,14 @@
         vec![route("/stream/", "engine", RequestKind::Streaming)],
     );
     // Nobody listens at their address: each connection is refused, and counted.
-    world.enter_runners("engine", RUNNERS);
+    world.add_runner_entries("engine", RUNNERS);
     world.start_runner("engine-1", "engine", &["e"]);
     for number in 1..=2 {
         world.start_gateway(number).await;
     }
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     let refused = world.network.refused_connections();
     assert!(refused < 20, "{refused} connections");
-    let answer = world.ask(1, "/stream/x", "asked", Some("e")).await;
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    let answer = world.request(1, "/stream/x", "asked", Some("e")).await;
+    assert_eq!((answer.code(), answer.complete), (200, true));
 }
--- a/crates/standin/tests/restored_store.rs
+++ b/crates/standin/tests/restored_store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{Bounds, RequestKind};
-use barleyspar_standin::{Data, World, engine_service, plain_service, route};
+use barleyspar_standin::{StoreData, World, engine_service, plain_service, route};
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Time within which a change must be in force.
@@ -27,9 +27,9 @@
     }
     world.start_runner("engine-1", "engine", &["a"]);
     for number in 1..=GATEWAYS {
-        world.start_gateway_with(number, &change).await;
+        world.start_gateway_with_bounds(number, &change).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -48,14 +48,17 @@
 /// The operators and the runners write again what they had written last.
 fn write_again(world: &mut World) {
     world.configure(|_| {});
-    world.runners.values().for_each(|runner| runner.publish());
+    world
+        .runners
+        .values()
+        .for_each(|runner| runner.publish_entry());
 }
 
 /// A copy, and then `changes` that the store gives out and loses.
-async fn lose(world: &World, changes: usize) -> Data {
-    let copy = world.store.copy();
+async fn lose(world: &World, changes: usize) -> StoreData {
+    let copy = world.store.backup();
     write_much(world, changes);
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     copy
 }
 
@@ -64,7 +67,7 @@
     let mut serving = 0;
     for number in 1..=GATEWAYS {
         let id = format!("{id}-{number}");
-        let answer = world.ask(number, path, &id, model).await;
+        let answer = world.request(number, path, &id, model).await;
         serving += u8::from(answer.code() == 200);
     }
     serving
@@ -84,7 +87,7 @@
         write_again(&mut world);
         let path = format!("/added-{restore}/");
         add_route(&mut world, &path);
-        world.pass(BOUND).await;
+        world.run_for(BOUND).await;
         let served = serving(&world, &path, &path, None).await;
         assert_eq!(served, GATEWAYS, "restore {restore}");
     }
@@ -95,9 +98,11 @@
     let mut world = world().await;
     let copy = lose(&world, 40).await;
     for number in 1..=GATEWAYS {
-        world.network.cut(World::host(number), World::store_host());
+        world
+            .network
+            .cut(World::gateway_host(number), World::store_host());
     }
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     world.store.restore(&copy);
     write_again(&mut world);
     add_route(&mut world, "/added/");
@@ -105,39 +110,39 @@
     // The numbers are beyond what the gateways know when they hear the store again.
     write_much(&world, 80);
     world.network.heal();
-    world.pass(BOUND).await;
-    let before = world.runners["plain-1"].arrivals();
+    world.run_for(BOUND).await;
+    let before = world.runners["plain-1"].request_count();
     for time in 0..10 {
         let id = format!("added-{time}");
         assert_eq!(serving(&world, "/added/x", &id, None).await, GATEWAYS);
     }
-    assert_eq!(world.runners["plain-1"].arrivals(), before);
+    assert_eq!(world.runners["plain-1"].request_count(), before);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_store_that_went_back_is_read_few_times() {
     let mut world = world().await;
     let copy = lose(&world, 40).await;
-    let before = world.store.readings();
+    let before = world.store.read_call_count();
     world.store.restore(&copy);
     write_again(&mut world);
-    world.pass(3 * SECOND).await;
-    let readings = world.store.readings() - before;
+    world.run_for(3 * SECOND).await;
+    let readings = world.store.read_call_count() - before;
     assert!(readings <= 12 * u64::from(GATEWAYS), "{readings} readings");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_gateway_that_starts_serves_by_what_the_store_lost() {
     let mut world = world().await;
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     add_route(&mut world, "/added/");
-    world.pass(BOUND).await;
+    world.run_for(BOUND).await;
     world.store.restore(&copy);
-    world.pass(SECOND / 2).await;
+    world.run_for(SECOND / 2).await;
     assert_eq!(serving(&world, "/added/x", "kept", None).await, GATEWAYS);
     world.kill_gateway(1);
     world.start_gateway(1).await;
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     assert_eq!(serving(&world, "/added/x", "started", None).await, GATEWAYS);
 }
 
@@ -145,22 +150,22 @@
 async fn a_runner_that_left_before_the_store_went_back_gets_nothing_more() {
     for drains in [true, false] {
         let world = world().await;
-        let copy = world.store.copy();
+        let copy = world.store.backup();
         let runner = &world.runners["plain-1"];
         if drains {
             runner.drain();
-            world.pass(SECOND).await;
+            world.run_for(SECOND).await;
         }
         world.store.remove("runner/plain-1");
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         world.store.restore(&copy);
-        world.pass(SECOND / 2).await;
-        let before = runner.arrivals();
+        world.run_for(SECOND / 2).await;
+        let before = runner.request_count();
         for time in 0..10 {
             let id = format!("after-{time}");
             assert_eq!(serving(&world, "/plain/x", &id, None).await, GATEWAYS);
         }
-        assert_eq!(runner.arrivals(), before, "drains: {drains}");
+        assert_eq!(runner.request_count(), before, "drains: {drains}");
     }
 }
 
@@ -171,19 +176,19 @@
         vec![route("/plain/", "plain", RequestKind::Idempotent)],
     );
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
-    let copy = world.store.copy();
+    world.run_for(12 * SECOND).await;
+    let copy = world.store.backup();
     world.start_runner("plain-1", "plain", &[]);
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     world.store.restore(&copy);
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     assert_eq!(serving(&world, "/plain/x", "lacked", None).await, GATEWAYS);
-    world.runners["plain-1"].publish();
-    world.pass(3 * SECOND).await;
+    world.runners["plain-1"].publish_entry();
+    world.run_for(3 * SECOND).await;
     assert_eq!(serving(&world, "/plain/x", "back", None).await, GATEWAYS);
     // One that does not write again is gone.
-    world.store.restore(&Data::default());
-    world.pass(4 * SECOND).await;
+    world.store.restore(&StoreData::default());
+    world.run_for(4 * SECOND).await;
     assert_eq!(serving(&world, "/plain/x", "gone", None).await, 0);
 }
 
@@ -192,29 +197,29 @@
     for fenced in [true, false] {
         let mut world = world_with(|bounds| bounds.fencing_enforced = fenced).await;
         // The copy knows no leader: it is of before the site was there.
-        let copy = Data::default();
+        let copy = StoreData::default();
         assert_eq!(
             serving(&world, "/stream/x", "before", Some("b")).await,
             GATEWAYS
         );
         write_much(&world, 40);
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         world.store.restore(&copy);
         write_again(&mut world);
-        world.pass(6 * SECOND).await;
-        let answer = world.ask(1, "/stream/x", "after", Some("c")).await;
+        world.run_for(6 * SECOND).await;
+        let answer = world.request(1, "/stream/x", "after", Some("c")).await;
         assert_eq!(answer.code(), 200, "fenced: {fenced}");
-        assert_eq!(world.shared_token(), None, "fenced: {fenced}");
+        assert_eq!(world.orders_sharing_a_token(), None, "fenced: {fenced}");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn members_whose_entries_the_store_lost_are_entered_again() {
     let mut world = world().await;
-    let copy = Data::default();
+    let copy = StoreData::default();
     world.store.restore(&copy);
     write_again(&mut world);
-    world.pass(2 * SECOND).await;
+    world.run_for(2 * SECOND).await;
     for number in 1..=GATEWAYS {
         let key = format!("barleyspar/node/gateway-{number}");
         assert!(world.store.get(&key).is_some(), "gateway {number}");
@@ -223,28 +228,28 @@
 
 /// Asks all gateways four times, for 0.8 s; the requests that the runner got.
 async fn asked_of(world: &World, runner: &str, id: &str) -> u64 {
-    let before = world.runners[runner].arrivals();
+    let before = world.runners[runner].request_count();
     for time in 0..4 {
         serving(world, "/plain/x", &format!("{id}-{time}"), None).await;
     }
-    world.runners[runner].arrivals() - before
+    world.runners[runner].request_count() - before
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_runner_that_lives_is_used_again_though_its_entry_had_gone() {
     for writes in [true, false] {
         let world = world().await;
-        let copy = world.store.copy();
+        let copy = world.store.backup();
         world.store.remove("runner/plain-1");
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         world.store.restore(&copy);
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
         assert_eq!(asked_of(&world, "plain-1", "at first").await, 0);
         if writes {
-            world.runners["plain-1"].publish();
-            world.pass(SECOND).await;
+            world.runners["plain-1"].publish_entry();
+            world.run_for(SECOND).await;
         } else {
-            world.pass(10 * SECOND).await;
+            world.run_for(10 * SECOND).await;
         }
         let used = asked_of(&world, "plain-1", "later").await;
         assert!(used > 0, "writes: {writes}");
@@ -254,18 +259,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_zone_stays_evacuated_while_the_operators_write_that_again() {
     let mut world = world().await;
-    world.start_runner_in("far", "far-1", "plain", &[]);
-    world.pass(SECOND).await;
-    let copy = world.store.copy();
-    world.evacuate("zone", true);
-    world.pass(BOUND).await;
+    world.start_runner_in_zone("far", "far-1", "plain", &[]);
+    world.run_for(SECOND).await;
+    let copy = world.store.backup();
+    world.set_evacuated("zone", true);
+    world.run_for(BOUND).await;
     world.store.restore(&copy);
-    world.pass(SECOND / 2).await;
+    world.run_for(SECOND / 2).await;
     assert_eq!(asked_of(&world, "plain-1", "evacuated").await, 0);
-    world.evacuate("zone", true);
-    world.pass(3 * SECOND).await;
+    world.set_evacuated("zone", true);
+    world.run_for(3 * SECOND).await;
     assert_eq!(asked_of(&world, "plain-1", "written again").await, 0);
     world.store.restore(&copy);
-    world.pass(4 * SECOND).await;
+    world.run_for(4 * SECOND).await;
     assert!(asked_of(&world, "plain-1", "taken back").await > 0);
 }
--- a/crates/standin/tests/restored_store_random.rs
+++ b/crates/standin/tests/restored_store_random.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{Bounds, Order, RequestKind};
-use barleyspar_standin::{Data, World, engine_service, plain_service, route};
+use barleyspar_standin::{StoreData, World, engine_service, plain_service, route};
 use futures_util::future::join_all;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -31,7 +31,7 @@
     world: World,
     random: StdRng,
     running: Vec<u8>,
-    copy: Data,
+    copy: StoreData,
     routes: usize,
     runners: usize,
     left: Vec<String>,
@@ -54,10 +54,10 @@
         world.start_runner("engine-2", "engine", &["c"]);
         let bounds = |bounds: &mut Bounds| bounds.fencing_enforced = fenced;
         for number in 1..=GATEWAYS {
-            world.start_gateway_with(number, bounds).await;
+            world.start_gateway_with_bounds(number, bounds).await;
         }
-        world.pass(12 * SECOND).await;
-        let copy = world.store.copy();
+        world.run_for(12 * SECOND).await;
+        let copy = world.store.backup();
         Self {
             world,
             random: StdRng::seed_from_u64(seed),
@@ -74,7 +74,7 @@
         match self.random.random_range(0..12) {
             0..2 => self.add_route(),
             2 => self.replace_runner(),
-            3..5 => self.copy = self.world.store.copy(),
+            3..5 => self.copy = self.world.store.backup(),
             5..7 => self.world.store.restore(&self.copy),
             7 => self.write_again(),
             8 => {
@@ -82,7 +82,7 @@
                 self.world.store.set_down(down);
             }
             9 => {
-                let gateway = World::host(self.random.random_range(1..=GATEWAYS));
+                let gateway = World::gateway_host(self.random.random_range(1..=GATEWAYS));
                 self.world.network.cut(gateway, World::store_host());
             }
             10 => self.world.network.heal(),
@@ -105,7 +105,7 @@
         self.world.start_runner(&id, "plain", &[]);
         let leaving = format!("plain-{}", self.left.len() + 1);
         let runner = &self.world.runners[&leaving];
-        runner.say_it_leaves();
+        runner.signal_draining();
         runner.drain();
         self.left.push(leaving);
     }
@@ -123,7 +123,7 @@
     async fn start_gateway(&mut self, number: u8, fenced: bool) {
         self.running.push(number);
         let bounds = |bounds: &mut Bounds| bounds.fencing_enforced = fenced;
-        self.world.start_gateway_with(number, bounds).await;
+        self.world.start_gateway_with_bounds(number, bounds).await;
     }
 
     /// The operators and the runners write again what they had written last.
@@ -132,7 +132,7 @@
         self.world
             .runners
             .values()
-            .for_each(|runner| runner.publish());
+            .for_each(|runner| runner.publish_entry());
     }
 
     /// Asks running gateways for some models; some requests may fail.
@@ -147,7 +147,7 @@
         let asked: Vec<_> = asked.collect();
         let world = &self.world;
         let answers = asked.iter().map(|(id, gateway, model)| {
-            world.ask_within(*gateway, "/stream/x", id, Some(model), STEP)
+            world.request_with_deadline(*gateway, "/stream/x", id, Some(model), STEP)
         });
         join_all(answers).await;
     }
@@ -162,7 +162,7 @@
             }
         }
         self.write_again();
-        self.world.pass(BOUND).await;
+        self.world.run_for(BOUND).await;
     }
 
     /// Whether a caller that comes again each second is served by `model` in time.
@@ -171,11 +171,11 @@
         while Instant::now() < until {
             self.numbers += 1;
             let id = format!("l{}", self.numbers);
-            let answer = self.world.ask(1, "/stream/x", &id, Some(model)).await;
+            let answer = self.world.request(1, "/stream/x", &id, Some(model)).await;
             if answer.code() == 200 {
                 return true;
             }
-            self.world.pass(SECOND).await;
+            self.world.run_for(SECOND).await;
         }
         false
     }
@@ -184,7 +184,7 @@
     async fn faults(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
         let left = |run: &Self| -> Vec<u64> {
-            let arrivals = |id: &String| run.world.runners[id].arrivals();
+            let arrivals = |id: &String| run.world.runners[id].request_count();
             run.left.iter().map(arrivals).collect()
         };
         let before = left(self);
@@ -196,7 +196,7 @@
                 };
                 self.numbers += 1;
                 let id = format!("r{}", self.numbers);
-                let code = self.world.ask(number, &path, &id, None).await.code();
+                let code = self.world.request(number, &path, &id, None).await.code();
                 if code != 200 {
                     faults.push(format!("gateway {number}, {path}: {code}"));
                 }
@@ -231,12 +231,12 @@
         for _ in 0..STEPS {
             run.change(fenced).await;
             run.ask_models().await;
-            run.world.pass(STEP / 10).await;
+            run.world.run_for(STEP / 10).await;
         }
         run.mend(fenced).await;
         let faults = run.faults().await;
         assert!(faults.is_empty(), "seed {seed}, round {round}: {faults:?}");
-        let shared = run.world.shared_token();
+        let shared = run.world.orders_sharing_a_token();
         assert_eq!(shared, None, "seed {seed}, round {round}");
         let close = run.orders_too_close().filter(|_| !fenced);
         assert_eq!(close, None, "seed {seed}, round {round}");
--- a/crates/standin/tests/runner_leaves.rs
+++ b/crates/standin/tests/runner_leaves.rs
@@ -23,7 +23,7 @@
         world.start_runner(&format!("plain-{number}"), "plain", &[]);
     }
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(8 * SECOND).await;
+    world.run_for(8 * SECOND).await;
     world
 }
 
@@ -36,7 +36,7 @@
         }
         let gateway = gateways[number % gateways.len()];
         let id = format!("{:?}-{number}", Instant::now());
-        let answer = world.ask(gateway, "/plain/x", &id, None).await;
+        let answer = world.request(gateway, "/plain/x", &id, None).await;
         assert_eq!(answer.code(), 200, "{id}");
     }
 }
@@ -56,7 +56,7 @@
 
 /// Requests that arrived from `from` on.
 fn all_requests_since(runner: &RunnerStandIn, from: Instant) -> usize {
-    let hosts = all().into_iter().map(World::host);
+    let hosts = all().into_iter().map(World::gateway_host);
     hosts.map(|node| requests_since(runner, node, from)).sum()
 }
 
@@ -65,11 +65,11 @@
     let world = plain_world().await;
     let runner = &world.runners["plain-1"];
     ask_plain(&world, SECOND, &all()).await;
-    runner.say_it_leaves();
+    runner.signal_draining();
     let said = Instant::now();
     ask_plain(&world, 8 * SECOND, &all()).await;
     for number in all() {
-        let node = World::host(number);
+        let node = World::gateway_host(number);
         let calls = runner.calls();
         let told = calls
             .iter()
@@ -87,7 +87,7 @@
     let world = plain_world().await;
     let runner = &world.runners["plain-1"];
     ask_plain(&world, SECOND, &all()).await;
-    runner.say_it_leaves();
+    runner.signal_draining();
     let said = Instant::now();
     ask_plain(&world, SECOND, &[1]).await;
     let told = Instant::now();
@@ -100,13 +100,13 @@
 async fn an_entry_that_comes_again_does_not_bring_a_leaving_runner_back() {
     let world = plain_world().await;
     let runner = &world.runners["plain-1"];
-    runner.say_it_leaves();
+    runner.signal_draining();
     ask_plain(&world, SECOND, &all()).await;
     let told = Instant::now();
     world.store.remove("runner/plain-1");
-    world.pass(SECOND).await;
-    runner.publish();
-    world.pass(SECOND / 20).await;
+    world.run_for(SECOND).await;
+    runner.publish_entry();
+    world.run_for(SECOND / 20).await;
     ask_plain(&world, 4 * SECOND, &all()).await;
     assert_eq!(all_requests_since(runner, told), 0);
 }
@@ -115,11 +115,11 @@
 async fn the_next_life_of_a_runner_that_left_is_used() {
     let world = plain_world().await;
     let runner = &world.runners["plain-1"];
-    runner.say_it_leaves();
+    runner.signal_draining();
     ask_plain(&world, SECOND, &all()).await;
-    runner.start_again(&world.network, &[]);
-    runner.publish();
-    world.pass(SECOND).await;
+    runner.restart(&world.network, &[]);
+    runner.publish_entry();
+    world.run_for(SECOND).await;
     let begun = Instant::now();
     ask_plain(&world, 4 * SECOND, &all()).await;
     assert!(all_requests_since(runner, begun) > 0);
@@ -134,17 +134,17 @@
     world.start_runner("engine-1", "engine", &["a", "b"]);
     world.start_runner("engine-2", "engine", &["c"]);
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     let leaving = world.runners["engine-1"].clone();
-    leaving.say_it_leaves();
+    leaving.signal_draining();
     let (said, orders) = (Instant::now(), leaving.orders().len());
     for number in 0..30 {
         let gateway = number % GATEWAYS + 1;
         let id = format!("stream-{number}");
-        let answer = world.ask(gateway, "/stream/x", &id, Some("a")).await;
+        let answer = world.request(gateway, "/stream/x", &id, Some("a")).await;
         assert_eq!(answer.code(), 200, "{id}");
     }
-    assert!(world.runners["engine-2"].holds("a"));
+    assert!(world.runners["engine-2"].has_loaded("a"));
     let later = all_requests_since(&leaving, said + TOLD_WITHIN);
     assert_eq!(later, 0);
     assert_eq!(leaving.orders().len(), orders);
--- a/crates/standin/tests/silence.rs
+++ b/crates/standin/tests/silence.rs
@@ -27,16 +27,16 @@
     for number in 1..=GATEWAYS {
         world.start_gateway(number).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
 async fn assert_change_in_force(world: &mut World) {
     let added = route("/added/", "plain", RequestKind::Idempotent);
     world.configure(|configuration| configuration.routes.push(added.into()));
-    world.pass(BOUND).await;
+    world.run_for(BOUND).await;
     for number in 1..=GATEWAYS {
-        let answer = world.ask(number, "/added/x", "a", None).await;
+        let answer = world.request(number, "/added/x", "a", None).await;
         assert_eq!(answer.code(), 200, "gateway {number}");
     }
 }
@@ -47,7 +47,7 @@
     for number in 1..=GATEWAYS {
         world
             .network
-            .silence(World::host(number), World::store_host());
+            .stall_connections(World::gateway_host(number), World::store_host());
     }
     assert_change_in_force(&mut world).await;
 }
@@ -57,7 +57,9 @@
     let mut world = world().await;
     for one in 1..=GATEWAYS {
         for other in one + 1..=GATEWAYS {
-            world.network.silence(World::host(one), World::host(other));
+            world
+                .network
+                .stall_connections(World::gateway_host(one), World::gateway_host(other));
         }
     }
     assert_change_in_force(&mut world).await;
@@ -72,11 +74,13 @@
     for number in 1..=GATEWAYS {
         world
             .network
-            .silence(World::host(number), World::store_host());
-        world.network.silence(World::host(number), engine);
+            .stall_connections(World::gateway_host(number), World::store_host());
+        world
+            .network
+            .stall_connections(World::gateway_host(number), engine);
     }
-    let answer = world.ask(1, "/stream/x", "a", Some("rare")).await;
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    let answer = world.request(1, "/stream/x", "a", Some("rare")).await;
+    assert_eq!((answer.code(), answer.complete), (200, true));
 }
 
 /// Where several connections rest at each runner, each runner costs one request its
@@ -86,14 +90,16 @@
     let world = world().await;
     let ask = async |id: String| {
         let begun = tokio::time::Instant::now();
-        let answer = world.ask(1, "/plain/x", &id, None).await;
+        let answer = world.request(1, "/plain/x", &id, None).await;
         (answer.code() == 200, begun.elapsed())
     };
     let warm = (0..12).map(|number| ask(format!("warm-{number}")));
     futures_util::future::join_all(warm).await;
-    world.pass(SECOND / 10).await;
+    world.run_for(SECOND / 10).await;
     for runner in world.runners.values() {
-        world.network.silence(World::host(1), runner.address().ip());
+        world
+            .network
+            .stall_connections(World::gateway_host(1), runner.address().ip());
     }
     let mut slow = 0;
     for number in 0..8 {
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -27,7 +27,7 @@
     for number in 1..=3 {
         world.start_gateway(number).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     world
 }
 
@@ -42,9 +42,9 @@
     let mut world = World::new(vec![plain_service("plain")], Vec::new());
     world.store.set_down(true);
     world.start_gateway(1).await;
-    world.pass(SECOND).await;
-    assert_eq!(world.readiness(1).await, 503);
-    let answer = world.ask(1, "/plain/", "a", None).await;
+    world.run_for(SECOND).await;
+    assert_eq!(world.readiness_status(1).await, 503);
+    let answer = world.request(1, "/plain/", "a", None).await;
     assert_eq!(answer.code(), 503);
     // Found in an incident: clients that came back after half a second were
     // refused again, as the store was still down.
@@ -57,7 +57,7 @@
 async fn every_readiness_question_is_answered() {
     let world = world().await;
     for _ in 0..50 {
-        assert_eq!(world.readiness(1).await, 200);
+        assert_eq!(world.readiness_status(1).await, 200);
     }
 }
 
@@ -67,15 +67,15 @@
     let ids: Vec<String> = (0..30).map(|number| format!("r{number}")).collect();
     let asked = ids.iter().enumerate().map(|(index, id)| {
         let gateway = (index % 3) as u8 + 1;
-        world.ask(gateway, "/stream/x", id, Some("f"))
+        world.request(gateway, "/stream/x", id, Some("f"))
     });
     let answers = join_all(asked).await;
     assert!(
         answers
             .iter()
-            .all(|answer| answer.code() == 200 && answer.whole)
+            .all(|answer| answer.code() == 200 && answer.complete)
     );
-    assert_eq!(world.replicas("f"), 1);
+    assert_eq!(world.replica_count("f"), 1);
     assert_sound(&world);
 }
 
@@ -83,8 +83,8 @@
 async fn a_model_makes_way_for_one_that_is_wanted() {
     let world = world().await;
     for model in ["f", "g"] {
-        let answer = world.ask(1, "/stream/x", model, Some(model)).await;
-        assert_eq!((answer.code(), answer.whole), (200, true), "{model}");
+        let answer = world.request(1, "/stream/x", model, Some(model)).await;
+        assert_eq!((answer.code(), answer.complete), (200, true), "{model}");
     }
     assert_sound(&world);
 }
@@ -98,16 +98,16 @@
         let other = number % 3 + 1;
         let model = ["f", "g", "a"][usize::from(number) - 1];
         let answer = world
-            .ask(
+            .request(
                 other,
                 "/stream/x",
                 &format!("{model}-{number}"),
                 Some(model),
             )
             .await;
-        assert_eq!((answer.code(), answer.whole), (200, true), "{model}");
+        assert_eq!((answer.code(), answer.complete), (200, true), "{model}");
         world.start_gateway(number).await;
-        world.pass(3 * SECOND).await;
+        world.run_for(3 * SECOND).await;
     }
     assert_sound(&world);
 }
@@ -117,11 +117,11 @@
     let mut world = world().await;
     for number in 1..=3 {
         world.kill_gateway(number);
-        world.pass(2 * SECOND).await;
+        world.run_for(2 * SECOND).await;
         let other = number % 3 + 1;
         let model = ["f", "g", "a"][usize::from(number) - 1];
         world
-            .ask(
+            .request(
                 other,
                 "/stream/x",
                 &format!("{model}-{number}"),
@@ -129,9 +129,9 @@
             )
             .await;
         world.start_gateway(number).await;
-        world.pass(SECOND).await;
+        world.run_for(SECOND).await;
     }
-    assert_eq!(world.shared_token(), None);
+    assert_eq!(world.orders_sharing_a_token(), None);
     for runner in world.runners.values() {
         let tokens: Vec<u64> = runner
             .orders()
@@ -149,8 +149,8 @@
         runner.lose_order_answers(2);
     }
     for model in ["f", "g", "a", "f"] {
-        let answer = world.ask(2, "/stream/x", model, Some(model)).await;
-        assert_eq!((answer.code(), answer.whole), (200, true), "{model}");
+        let answer = world.request(2, "/stream/x", model, Some(model)).await;
+        assert_eq!((answer.code(), answer.complete), (200, true), "{model}");
     }
     assert_sound(&world);
 }
@@ -160,8 +160,8 @@
     let world = world().await;
     world.runners["engine-3"].crash(&world.network);
     // Its entry stays in the store: nobody has noticed yet.
-    let answer = world.ask(1, "/stream/x", "r", Some("e")).await;
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    let answer = world.request(1, "/stream/x", "r", Some("e")).await;
+    assert_eq!((answer.code(), answer.complete), (200, true));
 }
 
 #[tokio::test(start_paused = true)]
@@ -169,9 +169,11 @@
     let world = world().await;
     world.store.set_down(true);
     for number in 0..20 {
-        let answer = world.ask(2, "/plain/x", &format!("r{number}"), None).await;
+        let answer = world
+            .request(2, "/plain/x", &format!("r{number}"), None)
+            .await;
         assert_eq!(answer.code(), 200);
-        world.pass(SECOND / 2).await;
+        world.run_for(SECOND / 2).await;
     }
 }
 
@@ -181,13 +183,13 @@
     world.configure(|configuration| {
         configuration.routes = vec![route("/new/", "plain", RequestKind::Idempotent).into()];
     });
-    world.pass(2 * SECOND).await;
+    world.run_for(2 * SECOND).await;
     for number in 1..=3 {
         let new = world
-            .ask(number, "/new/x", &format!("new-{number}"), None)
+            .request(number, "/new/x", &format!("new-{number}"), None)
             .await;
         let old = world
-            .ask(number, "/plain/x", &format!("old-{number}"), None)
+            .request(number, "/plain/x", &format!("old-{number}"), None)
             .await;
         assert_eq!((new.code(), old.code()), (200, 404));
     }
@@ -197,16 +199,16 @@
 async fn a_configuration_arrives_after_an_outage_and_a_lost_history() {
     let mut world = world().await;
     world.store.set_down(true);
-    world.pass(3 * SECOND).await;
+    world.run_for(3 * SECOND).await;
     world.configure(|configuration| {
         configuration.routes = vec![route("/new/", "plain", RequestKind::Idempotent).into()];
     });
-    world.store.forget_history();
+    world.store.compact_history();
     world.store.set_down(false);
-    world.pass(3 * SECOND).await;
+    world.run_for(3 * SECOND).await;
     for number in 1..=3 {
         let answer = world
-            .ask(number, "/new/x", &format!("new-{number}"), None)
+            .request(number, "/new/x", &format!("new-{number}"), None)
             .await;
         assert_eq!(answer.code(), 200);
     }
@@ -215,16 +217,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_store_that_refuses_one_gateway_does_not_stop_the_others() {
     let mut world = world().await;
-    world.store.refuse(World::host(1), true);
-    world.pass(10 * SECOND).await;
-    let model = world.ask(2, "/stream/x", "r", Some("f")).await;
-    assert_eq!((model.code(), model.whole), (200, true));
+    world.store.set_refused(World::gateway_host(1), true);
+    world.run_for(10 * SECOND).await;
+    let model = world.request(2, "/stream/x", "r", Some("f")).await;
+    assert_eq!((model.code(), model.complete), (200, true));
     world.configure(|configuration| {
         configuration.routes = vec![route("/new/", "plain", RequestKind::Idempotent).into()];
     });
-    world.store.refuse(World::host(1), false);
-    world.pass(2 * SECOND).await;
-    let answer = world.ask(1, "/new/x", "new", None).await;
+    world.store.set_refused(World::gateway_host(1), false);
+    world.run_for(2 * SECOND).await;
+    let answer = world.request(1, "/new/x", "new", None).await;
     assert_eq!(answer.code(), 200);
 }
 
@@ -232,16 +234,16 @@
 async fn a_stop_cuts_no_stream_and_refuses_what_waits() {
     let world = world().await;
     let gateway = world.gateway(1);
-    let streams = world.ask(1, "/stream/x", "running", Some("a"));
+    let streams = world.request(1, "/stream/x", "running", Some("a"));
     // A model that is nowhere and cannot be loaded while the store is down.
     world.store.set_down(true);
     let stop = async {
-        world.pass(SECOND / 10).await;
+        world.run_for(SECOND / 10).await;
         gateway.stop().await;
     };
     let (running, ()) = tokio::join!(streams, stop);
-    assert_eq!((running.code(), running.whole), (200, true));
-    assert_eq!(world.readiness(1).await, 503);
+    assert_eq!((running.code(), running.complete), (200, true));
+    assert_eq!(world.readiness_status(1).await, 503);
 }
 
 /// Found by hunt, second site, seed 397192811214: a stream that waited for its
@@ -263,11 +265,11 @@
             .expect("it is one");
         engine.loads_per_second = 0.001;
     });
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     let gateway = world.gateway(1);
-    let asked = world.ask(1, "/stream/x", "waits", Some("f"));
+    let asked = world.request(1, "/stream/x", "waits", Some("f"));
     let stop = async {
-        world.pass(SECOND / 10).await;
+        world.run_for(SECOND / 10).await;
         gateway.stop().await;
     };
     let (answer, ()) = tokio::join!(asked, stop);
@@ -299,14 +301,16 @@
     for number in 1..=3 {
         world.start_gateway(number).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     let old = leader(&world);
     for other in (1..=3).filter(|number| *number != old) {
-        world.network.cut(World::host(old), World::host(other));
+        world
+            .network
+            .cut(World::gateway_host(old), World::gateway_host(other));
     }
-    world.store.refuse(World::host(old), true);
+    world.store.set_refused(World::gateway_host(old), true);
     let successor = old % 3 + 1;
-    let answer = world.ask(successor, "/stream/x", "f", Some("f")).await;
+    let answer = world.request(successor, "/stream/x", "f", Some("f")).await;
     assert_eq!(answer.code(), 200);
     let newest = engine
         .orders()
@@ -314,7 +318,7 @@
         .map(|order| order.fencing_token)
         .max();
     let before = engine.orders().len();
-    world.ask(old, "/stream/x", "g", Some("g")).await;
+    world.request(old, "/stream/x", "g", Some("g")).await;
     let late = engine.orders()[before..]
         .iter()
         .filter(|order| Some(order.fencing_token) != newest)
@@ -330,9 +334,11 @@
     let leader = leader(&world);
     world.kill_gateway(leader);
     let started = tokio::time::Instant::now();
-    let answer = world.ask(leader % 3 + 1, "/stream/x", "r", Some("f")).await;
+    let answer = world
+        .request(leader % 3 + 1, "/stream/x", "r", Some("f"))
+        .await;
     let took = started.elapsed();
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    assert_eq!((answer.code(), answer.complete), (200, true));
     // The load takes one second, the stream not quite another.
     assert!(took < 5 * SECOND, "{took:?}");
 }
@@ -370,14 +376,14 @@
     let engine = world.start_runner("engine-1", "engine", &["a"]);
     for number in 1..=3 {
         let unfenced = |bounds: &mut Bounds| bounds.fencing_enforced = false;
-        world.start_gateway_with(number, unfenced).await;
+        world.start_gateway_with_bounds(number, unfenced).await;
     }
-    world.pass(12 * SECOND).await;
+    world.run_for(12 * SECOND).await;
     let leader = leader(&world);
-    let asked = world.ask(leader, "/stream/x", "f", Some("f"));
+    let asked = world.request(leader, "/stream/x", "f", Some("f"));
     let answer = asked.await;
     assert_eq!(answer.code(), 200);
-    world.pass(later).await;
+    world.run_for(later).await;
     world.kill_gateway(leader);
     let killed = tokio::time::Instant::now();
     let known = engine.orders().len();
@@ -387,7 +393,7 @@
         }
         killed.elapsed()
     };
-    let asked = world.ask(leader % 3 + 1, "/stream/x", "g", Some("g"));
+    let asked = world.request(leader % 3 + 1, "/stream/x", "g", Some("g"));
     let (answer, gap) = tokio::join!(asked, first_order);
     assert_eq!(answer.code(), 200);
     gap
@@ -401,8 +407,8 @@
     world.runners["engine-3"].crash(&world.network.clone());
     let before = world.network.refused_connections();
     // Only that runner has room: it is the cheapest until it does not answer.
-    let answer = world.ask(1, "/stream/x", "r", Some("f")).await;
-    assert_eq!((answer.code(), answer.whole), (200, true));
+    let answer = world.request(1, "/stream/x", "r", Some("f")).await;
+    assert_eq!((answer.code(), answer.complete), (200, true));
     let refused = world.network.refused_connections() - before;
     assert!(refused < 20, "{refused} connections");
 }
@@ -412,22 +418,22 @@
 async fn a_leaving_runner_gets_nothing_while_the_store_is_down() {
     let mut world = world().await;
     let leaving = world.start_runner("plain-2", "plain", &[]);
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     leaving.drain();
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     world.store.set_down(true);
-    let before = leaving.arrivals();
+    let before = leaving.request_count();
     for number in 0..30 {
         let gateway = number % 3 + 1;
         let answer = world
-            .ask(gateway, "/plain/x", &format!("r{number}"), None)
+            .request(gateway, "/plain/x", &format!("r{number}"), None)
             .await;
         assert_eq!(answer.code(), 200);
-        world.pass(SECOND / 3).await;
+        world.run_for(SECOND / 3).await;
     }
     world.store.set_down(false);
-    world.pass(3 * SECOND).await;
-    assert_eq!(leaving.arrivals(), before);
+    world.run_for(3 * SECOND).await;
+    assert_eq!(leaving.request_count(), before);
 }
 
 /// An outage of the store excuses no request that is lost around a planned stop.
@@ -435,12 +441,12 @@
 async fn a_stop_while_the_store_is_down_loses_no_plain_request() {
     let world = world().await;
     world.store.set_down(true);
-    world.pass(SECOND).await;
+    world.run_for(SECOND).await;
     let gateway = world.gateway(1);
     let ids: Vec<String> = (0..12).map(|number| format!("r{number}")).collect();
-    let asked = join_all(ids.iter().map(|id| world.ask(1, "/plain/x", id, None)));
+    let asked = join_all(ids.iter().map(|id| world.request(1, "/plain/x", id, None)));
     let stop = async {
-        world.pass(SECOND / 100).await;
+        world.run_for(SECOND / 100).await;
         gateway.stop().await;
     };
     let (answers, ()) = tokio::join!(asked, stop);
--- a/crates/standin/tests/start.rs
+++ b/crates/standin/tests/start.rs
@@ -27,13 +27,13 @@
         vec![route("/plain/", "plain", RequestKind::Idempotent)],
     );
     world.start_runner("plain-1", "plain", &[]);
-    world.withdraw_configuration();
-    world.store.set_slow_by(SECOND / 20);
+    world.remove_configuration();
+    world.store.set_extra_latency(SECOND / 20);
     world.start_gateways(1..=GATEWAYS).await;
-    world.pass(3 * SECOND / 2).await;
+    world.run_for(3 * SECOND / 2).await;
     world.configure(|_| {});
-    world.pass(10 * SECOND).await;
-    let calls = world.store.calls_by_kind();
+    world.run_for(10 * SECOND).await;
+    let calls = world.store.call_counts_by_kind();
     // Renewals and readings that may be old cost a tenth.
     let priced: u64 = calls
         .iter()
@@ -41,7 +41,7 @@
         .map(|(_, count)| count)
         .sum();
     assert!(priced <= EACH * u64::from(GATEWAYS) + ALL, "{calls:?}");
-    let answer = world.ask(GATEWAYS, "/plain/x", "asked", None).await;
+    let answer = world.request(GATEWAYS, "/plain/x", "asked", None).await;
     assert_eq!(answer.code(), 200);
 }
 
@@ -56,7 +56,7 @@
     );
     world.start_runner("plain-1", "plain", &[]);
     world.start_gateway(1).await;
-    world.pass(SECOND / 10).await;
-    let answer = world.ask(1, "/plain/x", "asked", None).await;
+    world.run_for(SECOND / 10).await;
+    let answer = world.request(1, "/plain/x", "asked", None).await;
     assert_eq!(answer.code(), 200);
 }
--- a/crates/standin/tests/state.rs
+++ b/crates/standin/tests/state.rs
@@ -26,12 +26,12 @@
         vec![engine_service("engine", &models)],
         vec![route("/stream/", "engine", RequestKind::Streaming)],
     );
-    world.enter_runners("engine", runners);
+    world.add_runner_entries("engine", runners);
     world.start_gateway(1).await;
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     let before = live_bytes();
     world.start_gateway(2).await;
-    world.pass(5 * SECOND).await;
+    world.run_for(5 * SECOND).await;
     live_bytes() - before
 }
 
