--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -28,17 +28,19 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time allowed to a client to send the body of its request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Retry-After of a node that has started lately and has no configuration yet.
+/// Retry-After of a node that has no configuration because it has just started.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Age of a process by which it has a configuration, unless the store is unreachable.
+/// Age at which a process usually has a configuration, unless the store is unreachable.
 const USUALLY_CONFIGURED_AFTER: Duration = Duration::from_millis(150);
-/// Retry-After of a node that has no configuration since the store is unreachable.
+/// Retry-After of a node that has no configuration because the store is unreachable.
 const STORE_UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(1500);
-/// Upper bound of the usual duration of a request that is not a stream.
+/// Time within which most requests that are not streams end. From the stage `Closing` on, the
+/// process refuses them if it ends earlier than after this time or their route's timeout,
+/// whichever is shorter.
 const USUAL_MAX_DURATION: Duration = Duration::from_millis(1500);
 
-/// Divisor of the route's target latency that gives the longest wait for a quota decision.
-/// The other half of the target latency is left to serve the request.
+/// The longest wait for a quota decision is the route's target latency divided by this
+/// number. The other half of the target latency is left to serve the request.
 const QUOTA_PATIENCE_DIVISOR: u32 = 2;
 
 /// Admits a request and reads its body. Returns the answer for the client if the request
@@ -129,8 +131,8 @@
     }
 }
 
-/// Returns whether a request that arrives now is expected to end before the process is
-/// stopped.
+/// Returns whether a request that arrives now may be admitted: false if the process is about
+/// to end and the request would probably not end before it.
 fn ends_before_process(context: &Context, route: &Route) -> bool {
     if context.lifecycle.stage() < Stage::Closing {
         return true;
@@ -161,7 +163,8 @@
         .unwrap_or_default()
 }
 
-/// Builds the request as it is sent to runners, with only the headers that callers own.
+/// Builds the request as it is sent to runners: with only those of its headers that callers
+/// may set, and with the permit that reserves `memory` for its body.
 fn build_outgoing(
     context: &Context,
     head: request::Parts,
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that the gateway gives by itself, without a runner's.
+//! Answers that the gateway generates itself instead of relaying a runner's.
 
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
 use crate::context::Context;
 use crate::lifecycle::Stage;
 
-/// Retry-After of a node that is being stopped. It is short, since another node can serve
+/// Retry-After of a node that is being stopped. It is short because another node can serve
 /// the request at once.
 pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Retry-After of a request that runners rejected, or for which a resource of this node
-/// was short.
+/// Retry-After of a request that runners rejected, or for which this node had too little
+/// memory, no quota decision or no reachable runner.
 pub const REJECTED_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Retry-After of a node whose view of the credentials is too stale. It asks the store and
 /// its peers twice a second, and another node may have a current view.
 const STALE_VIEW_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// An answer that the gateway gives by itself, without a runner's.
+/// An answer that the gateway generates itself instead of relaying a runner's.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnAnswer {
     /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Whether the request may have run, which the client is told in the body.
+    /// Whether the request may have run; sent to the client in the body.
     pub verdict: Verdict,
     /// Name of the reason, for the body, the log and the metrics.
     pub reason: &'static str,
-    /// Time after which a retry by the client makes sense; `None` sends no Retry-After.
+    /// Time after which the client should retry; `None` sends no Retry-After.
     pub retry_after: Option<Duration>,
 }
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The credential does not allow the request, or this node's view is too stale to know.
+    /// The credential does not allow the request (status 401), or this node's view is too
+    /// stale to decide (status 503).
     pub fn denied(denial: Denial) -> Self {
         match denial {
             Denial::Unknown => Self::rejected(StatusCode::UNAUTHORIZED, "credential_unknown"),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -29,7 +29,8 @@
     pub headers: HeaderMap,
     /// Body of the client's request, unchanged.
     pub body: Bytes,
-    /// Id that the client gave to this attempt of its own; `None` if it gave none.
+    /// Id that the client gave to the request; each retry by the client has its own. `None`
+    /// if the client gave none.
     pub request_id: Option<String>,
     /// Identifies the request across the caller's retries: equal for the same host, path,
     /// credential and body.
@@ -41,7 +42,7 @@
 /// An attempt that received the head of an answer. The body is still to be read.
 #[derive(Debug)]
 pub struct Answered {
-    /// Permit of the attempt; to be finished when the outcome is known.
+    /// Permit of the attempt, to be finished with the attempt's outcome once the body is read.
     pub permit: Permit,
     /// The connection on which the body arrives.
     pub connection: Connection,
@@ -49,7 +50,7 @@
     pub status: StatusCode,
     /// Headers of the runner's answer, unfiltered.
     pub headers: HeaderMap,
-    /// Values read from the head by the platform's dialect.
+    /// Values that the platform's dialect reads from the head.
     pub facts: AnswerFacts,
     /// Body of the runner's answer.
     pub body: Incoming,
@@ -71,7 +72,7 @@
 }
 
 impl AttemptError {
-    /// No byte of the request was written, so it did not run.
+    /// Creates the error of an attempt that wrote no byte of the request, so it did not run.
     fn unsent(outcome: Outcome, cause: String) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -81,7 +82,8 @@
         }
     }
 
-    /// The request was sent at least in part, so it may have run.
+    /// Creates the error of an attempt that sent at least a part of the request, which
+    /// therefore may have run.
     fn may_have_run(failure: Failure, cause: String) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
@@ -101,7 +103,7 @@
     forward: Forward,
     head_deadline: Instant,
 ) -> Result<Answered, AttemptError> {
-    match exchange_heads(context, &permit, outgoing, forward, head_deadline).await {
+    match send_and_read_head(context, &permit, outgoing, forward, head_deadline).await {
         Ok(parts) => {
             context.metrics.attempt_ended("head", "answered");
             let (connection, head, facts, body, waited) = parts;
@@ -125,7 +127,8 @@
     }
 }
 
-/// Connection, head, values read from the head, body, and time until the head.
+/// Connection, head of the answer, values read from the head, body, and time from sending
+/// the request to the head.
 type HeadParts = (
     Connection,
     http::response::Parts,
@@ -134,8 +137,9 @@
     Duration,
 );
 
-/// Connects to the permit's runner, sends the request and checks the head of the answer.
-async fn exchange_heads(
+/// Connects to the permit's runner, sends the request, checks the head of the answer and
+/// applies the runner's signals in it.
+async fn send_and_read_head(
     context: &Context,
     permit: &Permit,
     outgoing: &Outgoing,
@@ -171,13 +175,13 @@
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
     check_head(&head, &facts, outgoing)?;
-    let runner_answer = SignalledCall {
+    let call = SignalledCall {
         runner: permit.runner(),
         call: "request",
         sent_at,
         limit_expected: permit.runner_is_limited(),
     };
-    signals::apply_signals(context, &runner_answer, head.status, &facts);
+    signals::apply_signals(context, &call, head.status, &facts);
     Ok((connection, head, facts, body, waited))
 }
 
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -21,7 +21,7 @@
 /// Identifies one call of [`DispatchHandle::acquire`], so that it can be cancelled.
 type CallId = u64;
 
-/// Permit to send one attempt to one runner. Dropping it returns it with the outcome
+/// Permit to send one attempt to one runner. Dropping it ends the attempt with the outcome
 /// [`Outcome::Abandoned`].
 #[derive(Debug)]
 pub struct Permit {
@@ -53,19 +53,19 @@
         self.grant.is_rate_limited
     }
 
-    /// Returns whether the runner still takes new work: false once it is known to be
-    /// draining.
+    /// Returns whether the runner still takes new work. Turns false when the runner starts
+    /// to drain, is replaced or removed, or its evacuated zone reaches the deadline.
     pub fn runner_accepts_work(&self) -> bool {
         self.grant.accepts_work.load(Ordering::Relaxed)
     }
 
     /// Reports an interim outcome of the attempt, which stays in flight.
-    pub fn observe(&self, outcome: Outcome) {
+    pub fn report_interim_outcome(&self, outcome: Outcome) {
         self.handle
-            .send(Command::Observe(self.grant.permit, outcome));
+            .send(Command::RecordInterimOutcome(self.grant.permit, outcome));
     }
 
-    /// Reports the outcome of the attempt and returns the permit.
+    /// Reports the outcome of the attempt, which ends it.
     pub fn finish(mut self, outcome: Outcome) {
         self.finished = true;
         self.handle
@@ -91,22 +91,22 @@
     },
     Cancel(CallId),
     Finish(PermitId, Outcome),
-    Observe(PermitId, Outcome),
+    RecordInterimOutcome(PermitId, Outcome),
     ChooseService(Arc<Route>, oneshot::Sender<Arc<str>>),
-    Configure(Arc<Configuration>),
+    SetConfiguration(Arc<Configuration>),
     UpdateRunner(Arc<Runner>),
     RemoveRunner(Arc<str>),
     RetainRunners(Vec<Arc<str>>),
-    UpdateModels(Inventory),
+    ApplyInventory(Inventory),
     SetPeerLoad(Arc<str>, Vec<(RunnerKey, u32)>, Duration),
     ApplyLimit(Arc<str>, AdvertisedLimit),
     ApplyLimitUpdates(Vec<LimitUpdate>),
     MarkDraining(Arc<str>),
     SetRequestedPause(Arc<str>, Duration),
     ApplyDrainingUpdates(Vec<DrainingUpdate>),
-    ApplyRatePermit(Arc<str>, RatePermitAnswer),
+    ApplyRatePermitAnswer(Arc<str>, RatePermitAnswer),
     SetMembers(Vec<Arc<str>>),
-    SetEvacuated(BTreeMap<Arc<str>, Instant>),
+    SetEvacuatedZones(BTreeMap<Arc<str>, Instant>),
     SetBudgetLimits(BudgetLimits),
     Snapshot(oneshot::Sender<Snapshot>),
 }
@@ -133,7 +133,7 @@
 /// Ids of the runners that signalled that they are draining.
 pub type DrainingRunners = Arc<BTreeSet<Arc<str>>>;
 
-/// When the pause ends that a runner requested of this node, by runner id.
+/// Ends of the pauses that runners requested of this node, by runner id.
 pub type RequestedPauses = Arc<BTreeMap<Arc<str>, std::time::Instant>>;
 
 /// Request for a permit to call a rate-limited runner: the runner's id and the limit
@@ -143,15 +143,18 @@
 /// Counters that handles read and write directly, without a message to the task.
 #[derive(Debug, Default)]
 struct SharedCounters {
-    nodes: AtomicU32,
-    calls: AtomicU64,
+    /// Number of nodes over which cluster-wide limits are divided; 0 before it is known.
+    member_count: AtomicU32,
+    /// Id of the next call of [`DispatchHandle::acquire`].
+    next_call: AtomicU64,
 }
 
 /// Handle to the dispatcher's task. Its methods send a command and, where they return
 /// nothing, do not wait until the command is carried out.
 #[derive(Debug, Clone)]
 pub struct DispatchHandle {
-    // Bounded by the requests in flight: each has one command in the queue.
+    // Bounded by the requests in flight and by the messages of peers: the task handles
+    // each command immediately.
     commands: mpsc::UnboundedSender<Command>,
     shared: Arc<SharedCounters>,
     limits: watch::Receiver<AdvertisedLimits>,
@@ -159,8 +162,8 @@
     requested_pauses: watch::Receiver<RequestedPauses>,
 }
 
-/// Cancels a call of `acquire` that is dropped while it waits. Has no effect on a call
-/// that is answered.
+/// Cancels a call of [`DispatchHandle::acquire`] whose future is dropped while it waits. Has
+/// no effect on a call that is already answered.
 struct CancelOnDrop<'a> {
     handle: &'a DispatchHandle,
     call: CallId,
@@ -174,15 +177,15 @@
 
 impl DispatchHandle {
     fn send(&self, command: Command) {
-        // The task ends only with the process.
+        // The task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 
-    /// Requests a permit for a runner that suits `query`. Waits in the queue until one is
+    /// Requests a permit for a runner that can serve `query`. Waits in the queue until one is
     /// granted or the dispatcher refuses the request. Returns `None` if the dispatcher's
     /// task is gone.
     pub async fn acquire(&self, query: Query) -> Option<Result<Permit, Refusal>> {
-        let call = self.shared.calls.fetch_add(1, Ordering::Relaxed);
+        let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         self.send(Command::Acquire {
             call,
@@ -205,9 +208,9 @@
             .unwrap_or_else(|_| route.backends[0].service.clone())
     }
 
-    /// Replaces the configuration by which the dispatcher decides.
+    /// Replaces the configuration of routes and services that the dispatcher applies.
     pub fn set_configuration(&self, configuration: Arc<Configuration>) {
-        self.send(Command::Configure(configuration));
+        self.send(Command::SetConfiguration(configuration));
     }
 
     /// Adds a runner, or replaces its entry, from the runner's object in the store.
@@ -227,11 +230,11 @@
 
     /// Applies the list of models and adapters that a runner has loaded.
     pub fn update_models(&self, inventory: Inventory) {
-        self.send(Command::UpdateModels(inventory));
+        self.send(Command::ApplyInventory(inventory));
     }
 
-    /// Replaces the load of other nodes that `source` reported: their attempts in flight
-    /// by runner. The report expires after `valid_for`.
+    /// Replaces the load last set for `source`: the attempts in flight by runner of one other
+    /// node or, in clusters with relays, of all other nodes. It expires after `valid_for`.
     pub fn set_peer_load(
         &self,
         source: Arc<str>,
@@ -246,7 +249,7 @@
         self.send(Command::ApplyLimit(id, advertised));
     }
 
-    /// Applies rate limits of runners that another node reported.
+    /// Applies runners' rate limits that another node reported.
     pub fn apply_limit_updates(&self, updates: Vec<LimitUpdate>) {
         if !updates.is_empty() {
             self.send(Command::ApplyLimitUpdates(updates));
@@ -258,7 +261,7 @@
         self.send(Command::MarkDraining(id));
     }
 
-    /// Marks runners as draining that another node reported.
+    /// Marks the runners as draining that another node reported to be so.
     pub fn apply_draining_updates(&self, updates: Vec<DrainingUpdate>) {
         if !updates.is_empty() {
             self.send(Command::ApplyDrainingUpdates(updates));
@@ -281,7 +284,7 @@
 
     /// Applies the limit owner's answer to a [`RatePermitRequest`] for the runner `id`.
     pub fn apply_rate_permit(&self, id: Arc<str>, answer: RatePermitAnswer) {
-        self.send(Command::ApplyRatePermit(id, answer));
+        self.send(Command::ApplyRatePermitAnswer(id, answer));
     }
 
     /// Returns the rate limit that each runner last advertised to any node.
@@ -296,15 +299,15 @@
 
     /// Sets the nodes over which cluster-wide limits are divided, this one included.
     pub fn set_members(&self, members: Vec<Arc<str>>) {
-        let nodes = members.len() as u32;
-        self.shared.nodes.store(nodes, Ordering::Relaxed);
+        let count = members.len() as u32;
+        self.shared.member_count.store(count, Ordering::Relaxed);
         self.send(Command::SetMembers(members));
     }
 
     /// Sets the zones that operators evacuate. Until the time given for a zone, its
     /// runners still serve requests that no runner elsewhere can serve.
     pub fn set_evacuated(&self, zones: BTreeMap<Arc<str>, Instant>) {
-        self.send(Command::SetEvacuated(zones));
+        self.send(Command::SetEvacuatedZones(zones));
     }
 
     /// Sets the limits of the retry budget, which all nodes share.
@@ -314,10 +317,11 @@
 
     /// Returns the number of nodes over which cluster-wide limits are divided; at least 1.
     pub fn member_count(&self) -> u32 {
-        self.shared.nodes.load(Ordering::Relaxed).max(1)
+        self.shared.member_count.load(Ordering::Relaxed).max(1)
     }
 
-    /// Returns the state to send to other nodes; `None` if the dispatcher's task is gone.
+    /// Returns the part of the dispatcher's state that is sent to other nodes; `None` if the
+    /// dispatcher's task is gone.
     pub async fn snapshot(&self) -> Option<Snapshot> {
         let (reply, answer) = oneshot::channel();
         self.send(Command::Snapshot(reply));
--- a/crates/gateway/src/dispatch/task.rs
+++ b/crates/gateway/src/dispatch/task.rs
@@ -1,5 +1,5 @@
-//! The task that owns the dispatcher: it carries out commands, wakes up when time alone
-//! may let a waiting request proceed, and answers the requests.
+//! The task that owns the dispatcher: it carries out commands, answers requests for permits,
+//! and polls the queue when the passing of time may let a waiting request proceed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,12 +27,12 @@
 /// Time added to each timer, so that the event that it waits for is due when it fires.
 const TIMER_SLACK: Duration = Duration::from_millis(1);
 
-/// Starts the task and returns a handle to it. `urgent` is notified when a request starts
-/// to wait or is refused. `rate_permits` receives the requests for permits to call
-/// rate-limited runners.
+/// Starts the task and returns a handle to it. `urgent_demand` is notified when a request
+/// starts to wait or is refused, so that this node's demand is sent to the placement leader
+/// at once. `rate_permits` receives the requests for permits to call rate-limited runners.
 pub fn start(
     dispatcher: Dispatcher,
-    urgent: Arc<tokio::sync::Notify>,
+    urgent_demand: Arc<tokio::sync::Notify>,
     rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
 ) -> DispatchHandle {
     let (commands, inbox) = mpsc::unbounded_channel();
@@ -52,7 +52,7 @@
         replies: HashMap::new(),
         tickets: HashMap::new(),
         handle: handle.clone(),
-        urgent,
+        urgent_demand,
         rate_permits,
         limits: limits_sender,
         draining: draining_sender,
@@ -66,10 +66,11 @@
 struct DispatchTask {
     dispatcher: Dispatcher,
     splitter: Splitter,
+    /// Callers of the waiting requests: the call's id and the channel for the answer.
     replies: HashMap<Ticket, (CallId, oneshot::Sender<Result<Permit, Refusal>>)>,
     tickets: HashMap<CallId, Ticket>,
     handle: DispatchHandle,
-    urgent: Arc<tokio::sync::Notify>,
+    urgent_demand: Arc<tokio::sync::Notify>,
     rate_permits: mpsc::UnboundedSender<RatePermitRequest>,
     limits: watch::Sender<AdvertisedLimits>,
     draining: watch::Sender<DrainingRunners>,
@@ -166,14 +167,13 @@
                 }
             }
             Command::Finish(permit, outcome) => self.dispatcher.finish(permit, outcome, now()),
-            Command::Observe(permit, outcome) => {
-                self.dispatcher
-                    .record_interim_outcome(permit, outcome, now())
-            }
+            Command::RecordInterimOutcome(permit, outcome) => self
+                .dispatcher
+                .record_interim_outcome(permit, outcome, now()),
             Command::ChooseService(route, reply) => {
                 let _ = reply.send(self.splitter.pick(&route));
             }
-            Command::Configure(configuration) => {
+            Command::SetConfiguration(configuration) => {
                 self.splitter.retain(&configuration.routes);
                 self.dispatcher.set_configuration(configuration);
             }
@@ -184,7 +184,7 @@
             }
             Command::RemoveRunner(id) => self.dispatcher.remove_runner(&id),
             Command::RetainRunners(kept) => self.dispatcher.retain_runners(&kept),
-            Command::UpdateModels(inventory) => self.dispatcher.apply_inventory(inventory, now()),
+            Command::ApplyInventory(inventory) => self.dispatcher.apply_inventory(inventory, now()),
             Command::SetPeerLoad(source, load, valid_for) => {
                 self.dispatcher
                     .set_peer_load(source, load, valid_for, now())
@@ -211,12 +211,12 @@
                 let added = self.dispatcher.apply_draining_updates(&updates, now());
                 self.publish_added_draining(&added, "node");
             }
-            Command::ApplyRatePermit(id, answer) => {
+            Command::ApplyRatePermitAnswer(id, answer) => {
                 self.dispatcher.apply_rate_permit_answer(&id, answer, now())
             }
             Command::SetBudgetLimits(limits) => self.dispatcher.set_budget_limits(limits),
             Command::SetMembers(members) => self.dispatcher.set_members(members),
-            Command::SetEvacuated(zones) => {
+            Command::SetEvacuatedZones(zones) => {
                 let zones = zones
                     .into_iter()
                     .map(|(zone, serves_until)| (zone, serves_until.into_std()));
@@ -234,7 +234,8 @@
         }
     }
 
-    /// Answers the call at once if it is granted or refused; otherwise queues it.
+    /// Answers the call at once if the dispatcher grants or refuses it; otherwise keeps
+    /// `reply` until the dispatcher decides.
     fn acquire(
         &mut self,
         call: CallId,
@@ -255,9 +256,9 @@
         }
     }
 
-    /// Has this node's demand sent to the placement leader without delay.
+    /// Makes the peer task send this node's demand to the placement leader without delay.
     fn report_demand_now(&self) {
-        self.urgent.notify_one();
+        self.urgent_demand.notify_one();
     }
 
     fn reply(
@@ -270,7 +271,7 @@
             handle: self.handle.clone(),
             finished: false,
         });
-        // If the caller is gone, the permit is dropped here, which returns it.
+        // If the caller is gone, the permit is dropped here, which ends the attempt.
         let _ = reply.send(answer);
     }
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -19,27 +19,29 @@
 use crate::journal;
 use crate::quota::Charge;
 
-/// Most rejections by runners after which a request still gets another attempt.
+/// Maximum number of rejections by runners after which a request still gets another attempt.
 const MAX_REJECTIONS: u32 = 2;
-/// Most attempts without a byte sent after which a request still gets another one.
-const MAX_UNSENT: u32 = 4;
-/// Fraction of the route's timeout below which a client's remaining time shows that the
-/// request is a retry by the client.
-const FIRST_TRY_FRACTION: f64 = 0.95;
-/// Longest wait for the finding whether a lost runner crashed under the request. Where
-/// all parties answer, it takes one connection attempt and one exchange of datagrams.
-const CRASH_FINDING_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of attempts without a byte sent after which a request still gets another
+/// attempt.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
+/// Fraction of the route's timeout. A client that allows the request less time than this
+/// seems to have used up the rest in earlier attempts.
+const CLIENT_RETRY_FRACTION: f64 = 0.95;
+/// Longest wait for the decision whether a request may be resent after its connection to a
+/// runner broke. The decision takes one connection attempt to the runner and, after a crash,
+/// one exchange of datagrams with the limit owner.
+const RESEND_DECISION_TIMEOUT: Duration = Duration::from_millis(100);
 /// Lower bound of the stall timeout for requests that are not streams.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Lower bound of the stall timeout for streams before their first event.
 const MIN_STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Gaps between events of at least this length do not count towards the usual gap.
+/// Length from which on a gap between two events does not count towards the usual gap.
 const LONG_GAP: Duration = Duration::from_millis(60);
-/// Number of gaps from which a stream's usual gap is known.
+/// Number of gaps from which on a stream's usual gap is known.
 const MIN_GAP_SAMPLES: u32 = 10;
 
-/// What the admission of a request determined.
+/// Result of the admission of a request: its route, service, tenant and quota charge.
 pub struct Admitted {
     /// The route that matches the request's host and path.
     pub route: Arc<Route>,
@@ -53,7 +55,7 @@
     pub charge: Option<Charge>,
 }
 
-/// An admitted request until its end.
+/// An admitted request, from its admission until its end is logged.
 pub struct Exchange {
     /// The shared state of the gateway.
     pub context: Context,
@@ -77,7 +79,7 @@
     pub deadline: Instant,
     /// When the client last got an event; the time of arrival before the first one.
     pub last_event_at: Instant,
-    /// Whether the request may have run at any of the runners tried so far.
+    /// Whether the request may have run at any of the runners to which it was sent.
     pub verdict: Verdict,
     /// Time from the request's arrival to its first event; `None` before that, and for
     /// requests that are not streams.
@@ -86,11 +88,14 @@
     pub longest_gap: Duration,
     usual_gap_sum: Duration,
     usual_gap_count: u32,
-    excluded: Vec<Arc<str>>,
+    /// Ids of the runners to which the request is not sent again.
+    excluded_runners: Vec<Arc<str>>,
+    /// Number of attempts at which the request ran or may have run.
     possible_runs: u32,
     rejections: u32,
-    unsent: u32,
-    crash_finding: Option<ResendDecision>,
+    /// Number of attempts that failed before any byte was sent.
+    unsent_attempts: u32,
+    resend_decision: Option<ResendDecision>,
     ended: bool,
     _in_flight: InFlightGuard,
 }
@@ -135,11 +140,11 @@
             longest_gap: Duration::ZERO,
             usual_gap_sum: Duration::ZERO,
             usual_gap_count: 0,
-            excluded: Vec::new(),
+            excluded_runners: Vec::new(),
             possible_runs: 0,
             rejections: 0,
-            unsent: 0,
-            crash_finding: None,
+            unsent_attempts: 0,
+            resend_decision: None,
             ended: false,
             _in_flight: in_flight,
         }
@@ -169,7 +174,7 @@
 
     /// Returns the remaining time for which the request must not be sent to any runner;
     /// `None` if it is not quarantined. Logs a quarantine.
-    pub fn quarantined(&self) -> Option<Duration> {
+    pub fn remaining_quarantine(&self) -> Option<Duration> {
         let remaining = self
             .context
             .crashes
@@ -179,7 +184,7 @@
 
     /// Waits until the request is quarantined, and returns the remaining time of the
     /// quarantine. Logs it.
-    pub async fn until_quarantined(&self) -> Duration {
+    pub async fn wait_until_quarantined(&self) -> Duration {
         let fingerprint = self.outgoing.fingerprint;
         let remaining = self
             .context
@@ -253,7 +258,7 @@
             priority: self.priority(),
             prompt_tokens: self.facts.prompt_tokens,
             cache_tokens: self.facts.prompt_tokens + self.facts.answer_tokens,
-            prefix_key: self.affinity(),
+            prefix_key: self.prefix_key(),
             deadline: self.deadline.into_std(),
             target_latency: self.route.target_latency,
             patience: self
@@ -262,17 +267,17 @@
                 .map(|patience| patience.saturating_sub(since_last_event)),
             is_client_retry: self.is_client_retry(),
             allowed_regions: AllowedRegions::for_request(&self.route, self.tenant.as_deref()),
-            excluded_runners: self.excluded.clone(),
+            excluded_runners: self.excluded_runners.clone(),
             attempt,
             may_wait,
         }
     }
 
-    /// Returns whether the client seems to retry after a refusal: its deadline leaves it
-    /// less time than the route's timeout.
+    /// Returns whether the client seems to retry after a refusal: it allows the request
+    /// clearly less time than the route's timeout.
     fn is_client_retry(&self) -> bool {
         match (self.facts.deadline, self.route.timeout) {
-            (Some(remaining), Some(allowed)) => remaining < allowed.mul_f64(FIRST_TRY_FRACTION),
+            (Some(remaining), Some(allowed)) => remaining < allowed.mul_f64(CLIENT_RETRY_FRACTION),
             _ => false,
         }
     }
@@ -284,8 +289,8 @@
     }
 
     /// Returns the key by which requests prefer the same runner: equal for requests with
-    /// the same model and the same shared prefix.
-    fn affinity(&self) -> Option<u64> {
+    /// the same model and the same shared prefix of the prompt. `None` if no model is needed.
+    fn prefix_key(&self) -> Option<u64> {
         let wanted = self.wanted()?;
         Some(barleyspar_domain::rendezvous_weight(
             &wanted,
@@ -294,8 +299,8 @@
     }
 
     /// Returns the values that the gateway adds to the request's headers for `runner`.
-    /// `last_event_id`: the last event that the client has, if a stream is resumed.
-    pub fn forward(&self, runner: &Runner, last_event_id: Option<String>) -> Forward {
+    /// `last_event_id`: id of the last event sent to the client, if a stream is resumed.
+    pub fn added_header_values(&self, runner: &Runner, last_event_id: Option<String>) -> Forward {
         Forward {
             runner: runner.name.clone(),
             remaining: Some(self.remaining_time()),
@@ -306,16 +311,16 @@
     }
 
     /// Returns whether the request may be sent to another runner although it may have run
-    /// at one already.
+    /// at one already, and whether there is time for another attempt.
     pub fn may_retry(&self) -> bool {
         self.route.repeatable()
             && self.possible_runs < self.route.maximum_attempts
             && self.remaining_time() > Duration::from_millis(50)
     }
 
-    /// Returns the time until which the next attempt waits for the head of an answer. It is
-    /// the request's deadline unless there are `other_runners` and the request may be
-    /// sent to one of them after this attempt.
+    /// Returns the time until which the next attempt waits for the head of an answer: the
+    /// request's deadline, or an earlier time if `other_runners` are eligible and the
+    /// request may be sent to one of them after this attempt.
     pub fn head_deadline(&self, other_runners: bool) -> Instant {
         let may_run_again =
             self.route.repeatable() && self.possible_runs + 1 < self.route.maximum_attempts;
@@ -336,16 +341,16 @@
 
     /// Records a failed attempt at `runner`. Returns the kind of the next attempt; `None`
     /// if there must be none.
-    pub fn after_failure(
+    pub fn record_failure(
         &mut self,
         runner: &Arc<Runner>,
         error: &AttemptError,
     ) -> Option<AttemptKind> {
         journal::attempt_failed(self.id(), &runner.id, error);
-        self.excluded.push(runner.id.clone());
+        self.excluded_runners.push(runner.id.clone());
         if !error.sent {
-            self.unsent += 1;
-            return (self.unsent <= MAX_UNSENT).then_some(AttemptKind::Unsent);
+            self.unsent_attempts += 1;
+            return (self.unsent_attempts <= MAX_UNSENT_ATTEMPTS).then_some(AttemptKind::Unsent);
         }
         if error.outcome == Outcome::Failed(Failure::Broken) {
             self.report_broken_connection(runner, self.progress_without_head());
@@ -368,42 +373,42 @@
     /// runner crashed. `progress`: how far the request had come there.
     pub fn report_broken_connection(&mut self, runner: &Arc<Runner>, progress: Progress) {
         let fingerprint = self.outgoing.fingerprint;
-        let (broken, crash_finding) = BrokenRequest::new(self.id().into(), fingerprint, progress);
-        self.crash_finding = Some(crash_finding);
+        let (broken, resend_decision) = BrokenRequest::new(self.id().into(), fingerprint, progress);
+        self.resend_decision = Some(resend_decision);
         self.context
             .crashes
             .report_broken_connection(runner.clone(), broken);
     }
 
-    /// Waits, for at most [`CRASH_FINDING_TIMEOUT`], until it is known whether the request
-    /// crashed the runner to which the connection broke last. A request that crashes
-    /// runners would crash one more if it were sent on at once.
-    pub async fn await_crash_finding(&mut self) {
-        if let Some(crash_finding) = self.crash_finding.take() {
-            // The callers read the finding from the quarantine.
-            let _ = timeout(CRASH_FINDING_TIMEOUT, crash_finding).await;
+    /// Waits, for at most [`RESEND_DECISION_TIMEOUT`], until it is known whether the request
+    /// crashed the runner to which its connection broke last. A request that crashes
+    /// runners would crash one more if it were resent at once.
+    pub async fn await_resend_decision(&mut self) {
+        if let Some(resend_decision) = self.resend_decision.take() {
+            // The result is read from the quarantine afterwards, also after a timeout.
+            let _ = timeout(RESEND_DECISION_TIMEOUT, resend_decision).await;
         }
     }
 
-    /// Records that the request ran or may have run at `runner`. The tenant's charge is
-    /// spent from then on, and further attempts go to other runners.
+    /// Records that the request ran or may have run at `runner`. Its charge is then not
+    /// returned to the tenant's quota, and further attempts go to other runners.
     pub fn record_run(&mut self, runner: &Arc<str>, verdict: Verdict) {
         self.verdict = self.verdict.combined_with(verdict);
         if let Some(charge) = &mut self.charge {
             charge.mark_used();
         }
         self.possible_runs += 1;
-        if !self.excluded.contains(runner) {
-            self.excluded.push(runner.clone());
+        if !self.excluded_runners.contains(runner) {
+            self.excluded_runners.push(runner.clone());
         }
     }
 
     /// Records that `runner` rejected the request without running it. Returns whether
     /// another attempt is allowed. A runner that requested a pause is not excluded: it may
     /// get the request after the pause.
-    pub fn after_rejection(&mut self, runner: &Arc<str>, outcome: Outcome) -> bool {
+    pub fn record_rejection(&mut self, runner: &Arc<str>, outcome: Outcome) -> bool {
         if outcome != Outcome::Paused {
-            self.excluded.push(runner.clone());
+            self.excluded_runners.push(runner.clone());
         }
         self.rejections += 1;
         self.rejections <= MAX_REJECTIONS
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,7 +1,7 @@
-//! Log lines about requests and runners, with one vocabulary for all of them.
+//! Log lines about requests and runners, with the same field names in all of them.
 //!
-//! The field `event` names the event or decision, `request` is the id of the client's
-//! attempt, and `verdict` says whether the request may have run.
+//! The field `event` names the event or decision, `request` is the id that the client gave
+//! to the request (`-` or absent if none), and `verdict` says whether the request may have run.
 
 use std::time::Duration;
 
@@ -64,7 +64,8 @@
     );
 }
 
-/// Logs that a request is not served with the credential that it carries.
+/// Logs that a request is denied because of its credential, or because this node's view is
+/// too stale to check it.
 pub fn denied(context: &Context, facts: &RequestFacts, route: &Route, denial: Denial) {
     let table = context.routes.borrow();
     tracing::warn!(
@@ -78,7 +79,8 @@
     );
 }
 
-/// Logs that a request was refused since its tenant's quota does not cover it for `wait`.
+/// Logs that a request was refused because its tenant's quota is used up. The quota covers
+/// the request after `wait`.
 pub fn over_quota(facts: &RequestFacts, tenant: &Tenant, cost: u64, wait: Duration) {
     tracing::warn!(
         event = "limited",
@@ -91,7 +93,7 @@
     );
 }
 
-/// Logs which runner a request is sent to, after it waited for `waited`.
+/// Logs to which runner a request is sent. `waited`: time that the request waited for it.
 pub fn chosen(request: &str, permit: &Permit, waited: Duration) {
     tracing::info!(
         event = "chosen",
@@ -139,8 +141,8 @@
     tracing::warn!(event = "runner_failed", request, runner, status);
 }
 
-/// Logs that a runner crashed while a request was there. `served_lately`: whether this node
-/// served the same request lately, so that it is not blamed for the crash.
+/// Logs that a runner crashed while it processed a request. `served_lately`: whether this
+/// node recently served the same request, so that the crash does not count against it.
 pub fn runner_crashed(runner: &str, broken: &BrokenRequest, served_lately: bool) {
     tracing::warn!(
         event = "runner_crashed",
@@ -152,8 +154,8 @@
     );
 }
 
-/// Logs that a request was quarantined for `remaining`, since it crashes runners. `source`
-/// says who decided or reported it.
+/// Logs that a request was quarantined for `remaining` because it crashes runners. `source`:
+/// the limit owner, which decided it, or another node, which reported it.
 pub fn quarantined(request: Fingerprint, remaining: Duration, source: &'static str) {
     tracing::warn!(
         event = "quarantined",
@@ -163,7 +165,7 @@
     );
 }
 
-/// Logs that a quarantined request came again and is not sent to a runner.
+/// Logs that a request is not sent to a runner because it is quarantined for `remaining`.
 pub fn quarantine_applied(request: &str, fingerprint: Fingerprint, remaining: Duration) {
     tracing::warn!(
         event = "quarantine_met",
@@ -173,8 +175,8 @@
     );
 }
 
-/// Logs that the rate limit advertised by a runner changed. `source`: the runner itself or
-/// another node.
+/// Logs that the rate limit advertised by a runner changed. `source`: who reported it, the
+/// runner itself or another node.
 pub fn runner_limit(change: &LimitChange, source: &'static str) {
     let per_second = |limit: Option<RunnerLimit>| limit.map(RunnerLimit::per_second);
     tracing::warn!(
@@ -186,7 +188,8 @@
     );
 }
 
-/// Logs that a runner is draining. `source`: the runner itself or another node.
+/// Logs that a runner is draining. `source`: who reported it, the runner itself or another
+/// node.
 pub fn runner_draining(runner: &str, source: &'static str) {
     tracing::warn!(event = "runner_leaves", runner, source);
 }
@@ -197,7 +200,7 @@
     tracing::warn!(event = "runner_pauses", runner, call, pause_ms);
 }
 
-/// Logs that the dispatcher refused a runner to a request.
+/// Logs that the dispatcher refused a request, with the reason of the refusal.
 pub fn refused(request: &str, refusal: Refusal, verdict: Verdict) {
     tracing::warn!(
         event = "refused",
@@ -221,7 +224,7 @@
     /// Time until the first event of a stream, and the longest gap between two events;
     /// `None` if no event was sent.
     pub events: Option<(Duration, Duration)>,
-    /// Name of the reason for this end.
+    /// Why the request ended: [`ANSWERED`] or the name of a failure or refusal.
     pub reason: &'a str,
 }
 
@@ -278,7 +281,8 @@
     );
 }
 
-/// Logs that a stream is resumed at another runner, behind the event with the id `after`.
+/// Logs that a stream is resumed at another runner, after the event with the id `after`, or
+/// from its start if no event with an id was sent. `cause`: why it ended at the last runner.
 pub fn resumed(request: &str, runner: &str, after: Option<&str>, cause: &str) {
     tracing::info!(event = "resumed", request, runner, after, cause);
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -20,10 +20,11 @@
 pub enum Relayed {
     /// The complete answer, to be sent to the client.
     Answer(Response<AnswerBody>),
-    /// The complete answer, with which the runner reports a failure of its own.
+    /// The complete answer, with a status (5xx) by which the runner reports a failure of its
+    /// own.
     Failed(Response<AnswerBody>),
-    /// The answer exceeds [`MAX_COLLECTED_BYTES`]: the bytes read so far, and the
-    /// attempt from which the others are to be read.
+    /// The answer exceeds [`MAX_COLLECTED_BYTES`]: the bytes already read, and the attempt
+    /// from which the remaining ones are to be read.
     TooLong(Bytes, Box<Answered>),
     /// The connection broke, or the request's deadline passed.
     Broken,
@@ -52,8 +53,8 @@
     }
 }
 
-/// Reads the runner's answer completely, unless it is too long, and ends the attempt.
-/// Ends the request too if the answer is good.
+/// Reads the runner's answer completely and ends the attempt, unless the answer is too long.
+/// Ends the request too if the complete answer reports no failure.
 pub async fn collect(exchange: &mut Exchange, mut answered: Answered) -> Relayed {
     let mut collected = BytesMut::new();
     loop {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -30,11 +30,11 @@
 /// Time allowed to read the body of a rejection, so that its connection can be reused.
 const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What follows an attempt that gave no answer to relay.
+/// Next step after an attempt without an answer that can be relayed.
 enum Next {
     /// The request ends with this answer to the client.
     Answer(Response<AnswerBody>),
-    /// The request is sent to a runner once more.
+    /// The request gets another attempt of this kind.
     Again(AttemptKind),
 }
 
@@ -66,7 +66,8 @@
     }
 }
 
-/// Sends the request to runners, one after the other, until there is an answer.
+/// Sends the request to runners, one after the other, until there is an answer for the
+/// client.
 async fn run(mut exchange: Exchange) -> Response<AnswerBody> {
     let mut kind = AttemptKind::First;
     let mut fallback = None;
@@ -101,7 +102,8 @@
     }
 }
 
-/// Returns the answer to a request that ran, or may have run, without a usable answer.
+/// Returns the answer with status 502, for a request that may have run but whose runner
+/// gave no usable answer.
 fn bad_gateway(reason: &'static str) -> OwnAnswer {
     OwnAnswer::failed(StatusCode::BAD_GATEWAY, Verdict::MayHaveRun, reason)
 }
@@ -113,22 +115,23 @@
 }
 
 /// Makes one attempt: acquires a runner, sends the request and reads the head of the
-/// answer. `fallback` is an earlier runner's failure, which the client gets if there is no
-/// runner at once; without it the request may wait for a runner.
+/// answer. `fallback` is the answer of an earlier runner that failed to run the request; the
+/// client gets it if no runner is available at once. Without it, the request may wait for a
+/// runner.
 async fn attempt_once(
     exchange: &mut Exchange,
     kind: AttemptKind,
     fallback: Option<Response<AnswerBody>>,
 ) -> Result<Answered, Next> {
     let may_wait = fallback.is_none();
-    exchange.await_crash_finding().await;
+    exchange.await_resend_decision().await;
     let acquire_started = Instant::now();
     let query = exchange.query(kind, may_wait);
     let lifecycle = exchange.context.lifecycle.clone();
     let is_stream = exchange.route.kind == RequestKind::Streaming;
     let acquired = tokio::select! {
         biased;
-        remaining = exchange.until_quarantined() => {
+        remaining = exchange.wait_until_quarantined() => {
             return Err(Next::Answer(refuse_or_fall_back(
                 exchange,
                 fallback,
@@ -159,12 +162,12 @@
     }
     journal::chosen(exchange.id(), &permit, acquire_started.elapsed());
     let runner = permit.runner().clone();
-    let forward = exchange.forward(&runner, None);
+    let forward = exchange.added_header_values(&runner, None);
     let head_deadline = exchange.head_deadline(permit.candidates() > 1);
     let context = exchange.context.clone();
     match attempt(&context, permit, &exchange.outgoing, forward, head_deadline).await {
-        Ok(answered) => after_head(exchange, &runner.id, answered).await,
-        Err(error) => match exchange.after_failure(&runner, &error) {
+        Ok(answered) => handle_head(exchange, &runner.id, answered).await,
+        Err(error) => match exchange.record_failure(&runner, &error) {
             Some(kind) => Err(Next::Again(kind)),
             None => Err(Next::Answer(give_up(exchange))),
         },
@@ -184,7 +187,7 @@
     }
 }
 
-/// Ends a request whose last attempt failed and that must not be attempted again.
+/// Ends a request whose last attempt failed and that gets no further attempt.
 fn give_up(exchange: &mut Exchange) -> Response<AnswerBody> {
     if exchange.verdict == Verdict::NotRun {
         return refuse(exchange, "unreachable", REJECTED_RETRY_AFTER);
@@ -198,8 +201,8 @@
     end_with(exchange, answer)
 }
 
-/// Ends a request that gets no further runner: with `fallback`, the answer of a runner
-/// that failed to run it, or else with a refusal.
+/// Ends a request that is not sent to another runner: with `fallback`, the answer of a
+/// runner that failed to run it, or else with a refusal.
 fn refuse_or_fall_back(
     exchange: &mut Exchange,
     fallback: Option<Response<AnswerBody>>,
@@ -227,7 +230,8 @@
     end_with(exchange, answer)
 }
 
-/// Ends a request whose credential does not allow it any more.
+/// Ends an admitted request that its credential does not allow under the current
+/// configuration.
 fn deny(exchange: &mut Exchange, denial: Denial) -> Response<AnswerBody> {
     let answer = OwnAnswer::denied(denial);
     let answer = if exchange.verdict == Verdict::NotRun {
@@ -238,9 +242,10 @@
     end_with(exchange, answer)
 }
 
-/// Passes on the head of an answer to a request that ran. After a rejection, returns
-/// what follows it.
-async fn after_head(
+/// Handles the head of a runner's answer. Returns the answer if the runner ran the request.
+/// Otherwise ends the attempt and returns the next step: after a rejection, or if the
+/// answer's status would falsely tell the client that the request did not run.
+async fn handle_head(
     exchange: &mut Exchange,
     runner: &Arc<str>,
     answered: Answered,
@@ -286,7 +291,7 @@
         pool.put_back(runner, connection, facts.keep_alive_seconds);
     }
     permit.finish(outcome);
-    if exchange.after_rejection(runner, outcome) && !exchange.remaining_time().is_zero() {
+    if exchange.record_rejection(runner, outcome) && !exchange.remaining_time().is_zero() {
         return Err(Next::Again(AttemptKind::Retry));
     }
     Err(Next::Answer(refuse(
@@ -297,7 +302,7 @@
 }
 
 /// Returns whether the answer's status would tell the client that the request did not
-/// run, although it may have run and must not be repeated.
+/// run, although it may have run and the route does not allow repeating it.
 fn falsely_claims_not_run(exchange: &Exchange, answered: &Answered) -> bool {
     let claims_not_run = matches!(
         answered.status,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -32,10 +32,10 @@
     ClientLeft,
     /// The request's deadline passed.
     Deadline,
-    /// The runner's body ended early or cannot be parsed, for this cause.
+    /// The runner's body ended early or cannot be parsed; the text says why.
     Broken(String),
-    /// No event arrived for the stall timeout, and this permit for another runner is
-    /// available.
+    /// No data arrived for the stall timeout; the stream can be resumed with this permit for
+    /// another runner.
     Stalled(Permit),
 }
 
@@ -53,8 +53,10 @@
 pub struct StreamRelay {
     exchange: Exchange,
     body_sender: BodySender,
+    /// Id of the last event sent to the client that has one.
     last_event_id: Option<String>,
     events_sent: u64,
+    /// Value of `events_sent` when the current runner's part of the stream began.
     events_before_runner: u64,
 }
 
@@ -159,6 +161,7 @@
                     if let Some(permit) = self.acquire_other_runner().await {
                         return RunEnd::Stalled(permit);
                     }
+                    // The next search for another runner follows after the recheck interval.
                     last_received = Instant::now() + STALL_RECHECK_INTERVAL - self.stall_timeout().min(STALL_RECHECK_INTERVAL);
                 }
             }
@@ -179,13 +182,13 @@
         (gap * 2).max(MIN_GAP_STALL_TIMEOUT)
     }
 
-    /// Acquires another runner; `None` if none is available at once.
+    /// Acquires a permit for another runner; `None` if none is available at once.
     async fn acquire_other_runner(&self) -> Option<Permit> {
         let query = self.exchange.query(AttemptKind::Retry, false);
         self.exchange.context.dispatch.acquire(query).await?.ok()
     }
 
-    /// Sends to the client all complete events that it does not have yet.
+    /// Sends the complete events in `splitter` to the client, except those sent before.
     async fn send_complete_events(
         &mut self,
         splitter: &mut EventSplitter,
@@ -197,7 +200,9 @@
             }
             if self.events_sent == 0 {
                 let first_byte = answered.waited;
-                answered.permit.observe(Outcome::PromptRead { first_byte });
+                answered
+                    .permit
+                    .report_interim_outcome(Outcome::PromptRead { first_byte });
             }
             self.events_sent += 1;
             self.exchange.record_event();
@@ -229,8 +234,8 @@
         }
     }
 
-    /// Returns how a stream ended whose runner completed the body: the stream is broken if
-    /// the body ends within an event.
+    /// Returns how the stream from a runner ended after its body was read to the end: it is
+    /// broken if the body ends within an event.
     async fn end_of_body(&mut self, splitter: &mut EventSplitter) -> RunEnd {
         if splitter.take_incomplete().is_empty() {
             RunEnd::Complete
@@ -240,7 +245,7 @@
     }
 
     /// Resumes the stream at another runner: at that of `permit`, or else at one that the
-    /// dispatcher grants. `cause` is the reason why the stream ended at the last runner.
+    /// dispatcher chooses. `cause` is the reason why the stream ended at the last runner.
     /// Returns `None` if the stream cannot be continued.
     async fn resume(&mut self, permit: Option<Permit>, cause: &str) -> Option<Answered> {
         if !self.may_resume() {
@@ -255,12 +260,14 @@
         let mut permit = permit;
         let mut kind = AttemptKind::Retry;
         loop {
-            self.exchange.await_crash_finding().await;
+            self.exchange.await_resend_decision().await;
             let chosen = match permit.take() {
                 Some(permit) => permit,
                 None => self.acquire(kind).await?,
             };
-            if self.exchange.reauthorize().is_err() || self.exchange.quarantined().is_some() {
+            if self.exchange.reauthorize().is_err()
+                || self.exchange.remaining_quarantine().is_some()
+            {
                 return None;
             }
             let runner = chosen.runner().clone();
@@ -271,7 +278,7 @@
                 cause,
             );
             let last_event_id = self.last_event_id.clone();
-            let forward = self.exchange.forward(&runner, last_event_id);
+            let forward = self.exchange.added_header_values(&runner, last_event_id);
             let head_deadline = self.exchange.head_deadline(chosen.candidates() > 1);
             let context = self.exchange.context.clone();
             let result = attempt(
@@ -290,16 +297,16 @@
                     return Some(answered);
                 }
                 Ok(answered) => {
-                    kind = self.after_unusable_head(&runner.id, answered)?;
+                    kind = self.record_unusable_head(&runner.id, answered)?;
                 }
-                Err(error) => kind = self.exchange.after_failure(&runner, &error)?,
+                Err(error) => kind = self.exchange.record_failure(&runner, &error)?,
             }
         }
     }
 
     /// Records an attempt to resume that got an answer other than a stream of events.
     /// Returns the kind of the next attempt; `None` if there must be none.
-    fn after_unusable_head(
+    fn record_unusable_head(
         &mut self,
         runner: &Arc<str>,
         answered: Answered,
@@ -318,11 +325,11 @@
         let outcome = rejection_outcome(&answered);
         answered.permit.finish(outcome);
         self.exchange
-            .after_rejection(runner, outcome)
+            .record_rejection(runner, outcome)
             .then_some(AttemptKind::Retry)
     }
 
-    /// Acquires a runner, waiting for one if needed. Returns `None` if the client leaves,
+    /// Acquires a permit for a runner, waiting if needed. Returns `None` if the client leaves,
     /// the request is quarantined, or the dispatcher refuses it.
     async fn acquire(&self, kind: AttemptKind) -> Option<Permit> {
         let query = self.exchange.query(kind, true);
@@ -330,7 +337,7 @@
         tokio::select! {
             biased;
             () = self.body_sender.closed() => None,
-            _ = self.exchange.until_quarantined() => None,
+            _ = self.exchange.wait_until_quarantined() => None,
             answer = acquired => match answer? {
                 Ok(permit) => Some(permit),
                 Err(refusal) => {
