--- a/crates/gateway/src/crashes/mod.rs
+++ b/crates/gateway/src/crashes/mod.rs
@@ -23,7 +23,7 @@
 /// A request whose connection to its runner broke.
 #[derive(Debug)]
 pub struct BrokenRequest {
-    /// Id of the caller's request, for the log.
+    /// Id that the client gave to the request, for the log; `-` if it gave none.
     pub request: Arc<str>,
     /// Fingerprint that identifies equal requests on all nodes.
     pub fingerprint: Fingerprint,
@@ -32,10 +32,11 @@
     decision_sender: DecisionSender,
 }
 
-/// Dropped when the decision on resending the request is known; the receiving end then
-/// completes.
+/// Dropped when the decision on resending the request is known, so that the
+/// [`ResendDecision`] completes.
 type DecisionSender = oneshot::Sender<()>;
-/// Completes, with an error, when the decision on resending the request is known.
+/// Completes, with an error since its sender is dropped, when the decision on resending the
+/// request is known.
 pub type ResendDecision = oneshot::Receiver<()>;
 
 impl BrokenRequest {
@@ -46,14 +47,14 @@
         fingerprint: Fingerprint,
         progress: Progress,
     ) -> (Self, ResendDecision) {
-        let (decision_sender, decision_known) = oneshot::channel();
+        let (decision_sender, resend_decision) = oneshot::channel();
         let broken = Self {
             request,
             fingerprint,
             progress,
             decision_sender,
         };
-        (broken, decision_known)
+        (broken, resend_decision)
     }
 }
 
@@ -93,14 +94,15 @@
         }
     }
 
-    /// Returns the remaining quarantine of `request`, or `None` if it may be sent to
-    /// runners.
+    /// Returns the remaining time of the quarantine of `request`; `None` if it is not
+    /// quarantined.
     pub fn remaining_quarantine(&self, request: Fingerprint) -> Option<Duration> {
         let now = Instant::now().into_std();
         self.quarantine.borrow().remaining(request, now)
     }
 
-    /// Waits until `request` is put in quarantine, and returns the remaining time.
+    /// Waits until `request` is quarantined, and returns the remaining time of the
+    /// quarantine.
     pub async fn wait_until_quarantined(&self, request: Fingerprint) -> Duration {
         let mut quarantine = self.quarantine.clone();
         loop {
@@ -126,8 +128,8 @@
     }
 }
 
-/// The receiving end of a [`CrashHandle`], and the sender of the quarantine that the
-/// handle reads.
+/// The receiving end of a [`CrashHandle`], and the sender that publishes the quarantine to
+/// the handle; consumed by the task.
 pub struct CrashInbox(mpsc::UnboundedReceiver<Command>, watch::Sender<Quarantine>);
 
 /// Creates a handle and its receiving end, which [`CrashTask::new`] takes.
--- a/crates/gateway/src/crashes/task.rs
+++ b/crates/gateway/src/crashes/task.rs
@@ -16,7 +16,8 @@
 use crate::quota::QuotaDecision;
 use crate::upstream::ConnectError;
 
-/// The state of the crash task.
+/// The crash task: broken requests under examination, recently served requests, and the
+/// sender that publishes this node's quarantine.
 pub struct CrashTask {
     context: Context,
     inbox: mpsc::UnboundedReceiver<Command>,
@@ -71,9 +72,9 @@
         }
     }
 
-    /// Counts the crash of `runner` against the request. A request that was served
-    /// successfully a short while ago is not counted, because it is unlikely to be the
-    /// cause, and many callers send the same one.
+    /// Counts the crash of `runner` against the request, unless this node recently served the
+    /// same request successfully: it is then unlikely to be the cause, and many callers may
+    /// send it.
     fn count_crash(&self, broken: BrokenRequest, runner: &Arc<str>) {
         let served_lately = self.recently_served.contains(broken.fingerprint, now());
         journal::runner_crashed(runner, &broken, served_lately);
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Handles the limit owner's decision on a counted crash, then releases the request,
-    /// which may be resent unless it is in quarantine.
+    /// Quarantines the request if the limit owner denied resending it after a crash. Then
+    /// signals that the decision on resending is known.
     fn crash_counted(&self, broken: BrokenRequest, decision: QuotaDecision) {
         if let QuotaDecision::Denied(remaining) = decision {
             self.quarantine_request(broken.fingerprint, remaining);
@@ -117,9 +118,9 @@
     }
 }
 
-/// Probes `runner` with a new connection: a crash closes the runner's port. Without an
-/// answer, or without a connection left in this node's share, the node assumes that the
-/// runner is alive, because links fail more often than runners crash.
+/// Probes `runner` with a new connection: a crash closes the runner's port. If the connection
+/// times out, or this node's share of connections is in use, the runner counts as alive,
+/// because links fail more often than runners crash.
 async fn probe(context: Context, runner: Arc<Runner>) {
     let crashed = match context.open_connection(&runner, CONNECT_TIMEOUT).await {
         Ok(connection) => {
@@ -135,10 +136,11 @@
         .send(Command::ProbeFinished(runner, crashed));
 }
 
-/// Asks the owner of the request's limit to count the crash of `runner`.
+/// Has the limit owner count the crash of `runner` against the request, and sends the
+/// decision to the crash task.
 async fn count_at_owner(context: Context, broken: BrokenRequest, runner: Arc<str>) {
     let (request, weight) = (broken.fingerprint, broken.progress.weight());
-    let decision = context.quota.admit_crash(request, weight, runner).await;
+    let decision = context.quota.count_crash(request, weight, runner).await;
     context
         .crashes
         .send(Command::CrashCounted(broken, decision));
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,10 +1,10 @@
 //! Permits to accept tenants' requests, to call rate-limited runners, and to resend
 //! requests that were at crashed runners, counted across all nodes.
 //!
-//! Each limit has an owner among the nodes that hear from each other. The other nodes ask
-//! the owner before they accept a request or call the runner, which costs one exchange of
-//! datagrams. A node that gets no answer uses the reserve that the owner granted it
-//! earlier.
+//! Each limit has an owner among the nodes that receive messages from each other. The other
+//! nodes ask the owner before they accept a request, call the runner or resend the request,
+//! which costs one exchange of datagrams. A node that gets no answer uses the reserve that
+//! the owner granted it earlier.
 
 mod owners;
 mod task;
@@ -27,9 +27,9 @@
 pub enum QuotaDecision {
     /// The permit is granted.
     Granted,
-    /// The limit is reached. A repeated request would be granted after this time.
+    /// The limit is reached. The same request would be granted after this time.
     Denied(Duration),
-    /// No limit owner answered, and the reserve was not sufficient.
+    /// No limit owner decided, and this node's reserve was not sufficient.
     Unknown,
 }
 
@@ -37,9 +37,9 @@
 enum Command {
     Admit {
         subject: Subject,
-        announced_limit: Option<RunnerLimit>,
+        advertised_limit: Option<RunnerLimit>,
         cost: u64,
-        once_for: Option<Arc<str>>,
+        charge_once_key: Option<Arc<str>>,
         patience: Duration,
         reply: oneshot::Sender<QuotaDecision>,
     },
@@ -119,39 +119,39 @@
         let _ = self.commands.send(command);
     }
 
-    /// Requests a permit to accept a request of `tenant` that costs `cost` units. Waits
-    /// for up to `patience` for a limit owner while none answers and the reserve is used
-    /// up.
+    /// Requests a permit to accept a request of `tenant` that costs `cost` units. While no
+    /// limit owner answers and the reserve is used up, the owner is asked again for up to
+    /// `patience`.
     pub async fn admit(&self, tenant: Arc<str>, cost: u64, patience: Duration) -> QuotaDecision {
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Tenant(tenant),
-            announced_limit: None,
+            advertised_limit: None,
             cost,
-            once_for: None,
+            charge_once_key: None,
             patience,
             reply,
         });
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Requests a permit for one call of `runner`, which announced `limit`.
+    /// Requests a permit for one call of `runner`, which advertised `limit`.
     pub async fn admit_call(&self, runner: Arc<str>, limit: RunnerLimit) -> QuotaDecision {
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Runner(runner),
-            announced_limit: Some(limit),
+            advertised_limit: Some(limit),
             cost: 1,
-            once_for: None,
+            charge_once_key: None,
             patience: Duration::ZERO,
             reply,
         });
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Asks whether `request` may be sent to another runner after `runner` crashed while
-    /// processing it. The crash counts `weight` against the request, once per runner.
-    pub async fn admit_crash(
+    /// Has the limit owner count the crash of `runner` with `weight` against `request`, once
+    /// per runner. Returns whether the request may be sent to another runner.
+    pub async fn count_crash(
         &self,
         request: Fingerprint,
         weight: u64,
@@ -160,16 +160,16 @@
         let (reply, decision) = oneshot::channel();
         self.send(Command::Admit {
             subject: Subject::Request(request),
-            announced_limit: None,
+            advertised_limit: None,
             cost: weight,
-            once_for: Some(runner),
+            charge_once_key: Some(runner),
             patience: CRASH_PATIENCE,
             reply,
         });
         decision.await.unwrap_or(QuotaDecision::Unknown)
     }
 
-    /// Handles a peer's request for a permit; the task sends the answer to the peer.
+    /// Answers a peer's request for a permit: the task sends the answer to the peer.
     pub fn handle_peer_request(&self, request: QuotaRequest) {
         self.send(Command::PeerRequest(request));
     }
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -12,8 +12,8 @@
 
 use crate::peers::SeenPeer;
 
-/// Interval at which the list of responsive nodes is refreshed. An owner is needed for
-/// each request, and the list changes only with messages that arrive 0.25 s apart.
+/// Interval at which the list of responsive nodes is refreshed. It is not refreshed for each
+/// request because it changes only with messages, which arrive 0.25 s apart.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which a node that is listed in the store, but has sent no message, counts as
@@ -58,27 +58,27 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= REFRESH_INTERVAL)
     }
 
-    /// Refreshes the list of responsive nodes from `heard`. A peer is responsive if its
-    /// last message is less than `silence` old. `node_count` is the number of all nodes,
-    /// responsive or not.
+    /// Refreshes the list of responsive nodes from `seen_peers`. A peer is responsive if its
+    /// last message is less than `peer_timeout` old. `node_count` is the number of all
+    /// nodes, responsive or not.
     pub fn refresh(
         &mut self,
-        heard: &HashMap<Arc<str>, SeenPeer>,
+        seen_peers: &HashMap<Arc<str>, SeenPeer>,
         node_count: usize,
-        silence: Duration,
+        peer_timeout: Duration,
         now: Instant,
     ) {
         self.refreshed_at = Some(now);
         self.node_count = node_count;
         let is_responsive = |peer: &SeenPeer| {
             let timeout = if peer.has_sent_message {
-                silence
+                peer_timeout
             } else {
                 UNSEEN_NODE_TIMEOUT
             };
             now.saturating_duration_since(peer.last_seen) < timeout
         };
-        let mut nodes: Vec<(Arc<str>, u32)> = heard
+        let mut nodes: Vec<(Arc<str>, u32)> = seen_peers
             .iter()
             .filter(|(_, peer)| is_responsive(peer))
             .map(|(name, peer)| (name.clone(), peer.capacity))
@@ -91,15 +91,15 @@
         }
     }
 
-    /// Returns how many of all nodes are responsive, including this one.
-    pub fn responsive_share(&self) -> VisibleNodes {
+    /// Returns the number of responsive nodes, including this one, and that of all nodes.
+    pub fn visible_nodes(&self) -> VisibleNodes {
         VisibleNodes {
             visible: self.nodes.len(),
             total: self.node_count,
         }
     }
 
-    /// Returns the owner of the limit of this name. The nodes with the fastest link,
+    /// Returns the owner of the limit named `limit`. The nodes with the fastest link,
     /// which usually have most other resources too, share the limits by rendezvous
     /// hashing of the name.
     pub fn owner_of(&mut self, limit: &Arc<str>) -> Arc<str> {
@@ -117,7 +117,7 @@
         owner
     }
 
-    /// Returns whether this node is the owner of the limit of this name.
+    /// Returns whether this node is the owner of the limit named `limit`.
     pub fn is_owner(&mut self, limit: &Arc<str>) -> bool {
         self.owner_of(limit) == self.this_node.0
     }
--- a/crates/gateway/src/quota/owners_tests.rs
+++ b/crates/gateway/src/quota/owners_tests.rs
@@ -7,7 +7,7 @@
 use super::Owners;
 use crate::peers::SeenPeer;
 
-const SILENCE: Duration = Duration::from_millis(1600);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1600);
 const CAPACITY: u32 = 10;
 const NODES: usize = 60;
 
@@ -16,10 +16,10 @@
 }
 
 /// Returns the peers of `group` as `node` sees them, with messages received `age` ago.
-fn heard(node: usize, group: &[usize], age: Duration) -> HashMap<Arc<str>, SeenPeer> {
+fn peers_seen_by(node: usize, group: &[usize], age: Duration) -> HashMap<Arc<str>, SeenPeer> {
     let others = group.iter().filter(|other| **other != node);
-    let last_seen = |other: &usize| {
-        let heard = SeenPeer {
+    let seen_peer = |other: &usize| {
+        let peer = SeenPeer {
             last_seen: Instant::now() - age,
             has_sent_message: true,
             address: "10.0.0.1:1".parse().expect("it is an address"),
@@ -30,9 +30,9 @@
             },
             zone: "zone".into(),
         };
-        (name(*other), heard)
+        (name(*other), peer)
     };
-    others.map(last_seen).collect()
+    others.map(seen_peer).collect()
 }
 
 fn owners(node: usize, group: &[usize], age: Duration) -> Owners {
@@ -42,7 +42,12 @@
         CAPACITY
     };
     let mut owners = Owners::of_node(name(node), capacity);
-    owners.refresh(&heard(node, group, age), NODES, SILENCE, Instant::now());
+    owners.refresh(
+        &peers_seen_by(node, group, age),
+        NODES,
+        PEER_TIMEOUT,
+        Instant::now(),
+    );
     owners
 }
 
@@ -62,24 +67,24 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_unresponsive_node_is_not_chosen_as_owner() {
-    tokio::time::advance(2 * SILENCE).await;
+    tokio::time::advance(2 * PEER_TIMEOUT).await;
     let tenant: Arc<str> = "tenant".into();
-    let mut alone = owners(1, &[0, 1, 10, 20], SILENCE);
+    let mut alone = owners(1, &[0, 1, 10, 20], PEER_TIMEOUT);
     assert!(alone.is_owner(&tenant));
-    assert_eq!(alone.responsive_share().visible, 1);
+    assert_eq!(alone.visible_nodes().visible, 1);
 }
 
 /// Guards against limits owned by a node that is gone: after a machine was replaced, its
 /// entry stayed in the store, and its replacement chose it as an owner.
 #[tokio::test(start_paused = true)]
 async fn a_node_known_only_from_the_store_soon_stops_being_an_owner() {
-    tokio::time::advance(SILENCE).await;
+    tokio::time::advance(PEER_TIMEOUT).await;
     let tenant: Arc<str> = "tenant".into();
-    let mut peers = heard(1, &[0], SILENCE / 2);
+    let mut peers = peers_seen_by(1, &[0], PEER_TIMEOUT / 2);
     for peer in peers.values_mut() {
         peer.has_sent_message = false;
     }
     let mut owners = Owners::of_node(name(1), CAPACITY);
-    owners.refresh(&peers, NODES, SILENCE, Instant::now());
+    owners.refresh(&peers, NODES, PEER_TIMEOUT, Instant::now());
     assert!(owners.is_owner(&tenant));
 }
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -17,39 +17,43 @@
 use crate::quota::owners::Owners;
 use crate::quota::{Command, QuotaDecision, QuotaInbox};
 
-/// Time to wait for an owner's answer before the request is sent again: ten times a
-/// message exchange between zones.
+/// Time to wait for an owner's answer before the request is sent again: ten times the
+/// duration of a message exchange between zones.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
-/// Number of attempts after which the reserve is used.
+/// Number of unanswered attempts after which the reserve is used.
 const ATTEMPTS_BEFORE_RESERVE: u32 = 3;
-/// Time between the attempts after those; an unresponsive owner is replaced meanwhile.
+/// Time between two attempts after the first [`ATTEMPTS_BEFORE_RESERVE`]. Meanwhile an
+/// unresponsive owner is replaced.
 const LATER_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Interval at which unused state is dropped.
+/// Minimum time between two cleanups of unused records, unless the configuration changes.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// A permit request of this node that has no decision yet.
 struct Pending {
     subject: Subject,
-    announced_limit: Option<RunnerLimit>,
+    advertised_limit: Option<RunnerLimit>,
     cost: u64,
-    once_for: Option<Arc<str>>,
+    charge_once_key: Option<Arc<str>>,
     attempts: u32,
-    /// Time until which the request is retried while no owner answers and the reserve is used up.
+    /// Time until which the request is retried while no owner answers and the reserve is
+    /// used up.
     deadline: Instant,
     reply: oneshot::Sender<QuotaDecision>,
 }
 
-/// The state of the quota task.
+/// The quota task: the permit requests of this node that have no decision yet, and the
+/// records on limits that this node asks for or owns.
 pub struct QuotaTask {
     context: Context,
     peers: PeerHandle,
     owners: Owners,
-    owner: QuotaOwner,
+    /// Records on the limits that this node owns.
+    owned_limits: QuotaOwner,
     ledger: QuotaLedger,
     pending: BTreeMap<u64, Pending>,
-    /// Times and numbers of pending requests, ordered by time. Entries of requests that
-    /// have been answered are skipped.
+    /// When to retry which pending request, as time and number, ordered by time. Entries of
+    /// requests that have been answered are skipped.
     retries: VecDeque<(Instant, u64)>,
     last_number: u64,
     cleaned_at: Instant,
@@ -63,7 +67,7 @@
         let started = context.started_at.into_std();
         Self {
             owners: Owners::new(&context.settings),
-            owner: QuotaOwner::new(started, peer_timeout(nodes)),
+            owned_limits: QuotaOwner::new(started, peer_timeout(nodes)),
             ledger: QuotaLedger::new(context.settings.bounds.quota.window),
             pending: BTreeMap::new(),
             retries: VecDeque::new(),
@@ -99,16 +103,16 @@
         match command {
             Command::Admit {
                 subject,
-                announced_limit,
+                advertised_limit,
                 cost,
-                once_for,
+                charge_once_key,
                 patience,
                 reply,
             } => self.admit(Pending {
                 subject,
-                announced_limit,
+                advertised_limit,
                 cost,
-                once_for,
+                charge_once_key,
                 attempts: 0,
                 deadline: Instant::now() + patience,
                 reply,
@@ -119,20 +123,20 @@
         }
     }
 
-    /// Drops the state of tenants that are no longer configured, and of runners and
-    /// requests that were not asked about recently.
+    /// Drops the records on tenants that are not in the configuration, and on runners and
+    /// requests for which no permit was requested recently.
     fn drop_unused(&mut self) {
         self.cleaned_at = Instant::now();
         let Some(table) = self.context.routes.borrow().clone() else {
             return;
         };
-        let known = |name: &str| table.tenant_named(name).is_some();
-        self.owner.retain(known, now());
-        self.ledger.retain(known, now());
+        let is_known_tenant = |name: &str| table.tenant_named(name).is_some();
+        self.owned_limits.retain(is_known_tenant, now());
+        self.ledger.retain(is_known_tenant, now());
     }
 
     /// Returns the cluster-wide limit that `request` counts against. `None` if the
-    /// subject has no limit, or the tenant is unknown to this node.
+    /// subject has no limit, or this node's configuration does not contain the tenant.
     fn limit_for(&self, request: &QuotaRequest) -> Option<QuotaLimit> {
         let tenant = match &request.subject {
             Subject::Tenant(tenant) => tenant,
@@ -149,20 +153,22 @@
         let now = Instant::now();
         if self.owners.is_refresh_due(now) {
             let nodes = self.context.dispatch.member_count();
-            let heard = self.peers.seen_peers();
-            let silence = peer_timeout(nodes);
+            let seen_peers = self.peers.seen_peers();
+            let timeout = peer_timeout(nodes);
             self.owners
-                .refresh(&heard.borrow(), nodes as usize, silence, now);
+                .refresh(&seen_peers.borrow(), nodes as usize, timeout, now);
         }
     }
 
+    /// Grants a request from units that were given back, or else asks the limit owner.
     fn admit(&mut self, pending: Pending) {
         if self.cleaned_at.elapsed() >= CLEANUP_INTERVAL {
             self.drop_unused();
         }
         let (subject, cost) = (&pending.subject, pending.cost);
         if self.ledger.take_unused(subject, cost, now()) {
-            // A caller that has disconnected needs no answer, here and below.
+            // If the caller has disconnected, nobody waits for the decision; the same holds for
+            // the other replies below.
             let _ = pending.reply.send(QuotaDecision::Granted);
             return;
         }
@@ -179,9 +185,9 @@
             number,
             node: self.context.settings.name.clone(),
             subject: pending.subject.clone(),
-            named: pending.announced_limit,
+            named: pending.advertised_limit,
             cost: pending.cost,
-            charge_once_key: pending.once_for.clone(),
+            charge_once_key: pending.charge_once_key.clone(),
             other_owner_asked_ms: self.ledger.record_question(&pending.subject, &owner, now()),
         };
         pending.attempts += 1;
@@ -221,9 +227,11 @@
         }
     }
 
-    /// Decides a request by the reserve because no owner has answered. A request that the
-    /// reserve does not cover is retried while its patience lasts.
+    /// Decides a request by the reserve, because no owner has answered or the node asked
+    /// does not own the limit. A request that the reserve does not cover is retried until
+    /// its deadline.
     fn decide_by_reserve(&mut self, number: u64, mut pending: Pending) {
+        // A pseudo-random number from 0 to 1.
         let draw = rendezvous_weight(&self.last_number, &*self.context.settings.name) as f64
             / u64::MAX as f64;
         let granted = self
@@ -270,14 +278,16 @@
         self.peers.send_message(request.node, message);
     }
 
+    /// Decides a request for a permit as the owner of its limit.
     fn answer(&mut self, request: &QuotaRequest) -> QuotaAnswer {
         let Some(limit) = self.limit_for(request) else {
             return QuotaAnswer::NotOwner;
         };
-        self.owner
-            .answer(request, limit, self.owners.responsive_share(), now())
+        self.owned_limits
+            .answer(request, limit, self.owners.visible_nodes(), now())
     }
 
+    /// Applies the owner's answer to the pending request `number`, and replies to its caller.
     fn apply_answer(&mut self, number: u64, answer: QuotaAnswer) {
         let Some(pending) = self.pending.remove(&number) else {
             return;
