--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies of answers to callers: complete from the start, or sent in chunks.
+//! Bodies of answers to callers: either all bytes are known at the start, or they are sent
+//! in chunks.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -17,15 +17,15 @@
 use crate::quota::QuotaHandle;
 use crate::upstream::{Checkout, ConnectError, Connection, Pool};
 
-/// Longest time that opening a connection to a runner may take.
+/// Timeout for opening a connection to a runner.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes for which one permit of [`Context::body_memory`] stands.
+/// Number of bytes that one permit of [`Context::body_memory`] reserves.
 pub const BODY_UNIT: usize = 1024;
-/// Divisor of the process's memory that gives the memory for all request bodies together.
+/// All request bodies together may use the memory of the process divided by this number.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
 /// Creates the semaphore from which request bodies reserve memory, for a process with
-/// `memory_bytes` of memory. A permit stands for [`BODY_UNIT`] bytes.
+/// `memory_bytes` of memory. Each permit reserves [`BODY_UNIT`] bytes.
 pub fn body_memory(memory_bytes: u64) -> Arc<Semaphore> {
     Arc::new(Semaphore::new(
         (memory_bytes / BODY_MEMORY_DIVISOR) as usize / BODY_UNIT,
@@ -46,10 +46,10 @@
     pub started_at: Instant,
     /// Routes of the configuration in force; `None` before the first configuration.
     pub routes: watch::Receiver<Option<Arc<RouteTable>>>,
-    /// When the routes in force were last confirmed to be the latest of the operators;
-    /// `None` before the first confirmation.
+    /// When the routes in force were last confirmed to be the latest that the operators have
+    /// set; `None` before the first confirmation.
     pub confirmed_at: watch::Receiver<Option<Instant>>,
-    /// How stale the local view may be for requests with credentials to be served by it.
+    /// Maximum staleness of the local view with which this node still checks credentials.
     pub access_bounds: AccessBounds,
     /// Handle to the task that obtains permits from limit owners, for tenants' quotas and
     /// runners' rate limits.
@@ -65,7 +65,7 @@
     pub lifecycle: Lifecycle,
     /// Memory for request bodies, in units of [`BODY_UNIT`] bytes.
     pub body_memory: Arc<Semaphore>,
-    /// Metrics of the process.
+    /// Metrics of the gateway, which the metrics listener serves.
     pub metrics: Arc<Metrics>,
     /// Counter of the callers' requests in flight.
     pub requests_in_flight: Arc<InFlight>,
@@ -100,7 +100,7 @@
         table.configuration().tenants.is_empty() || local_view.may_serve(&self.access_bounds)
     }
 
-    /// Returns `table` together with the staleness of this node's view.
+    /// Returns `table` with its staleness, for checks of credentials.
     fn local_view<'a>(&self, table: &'a RouteTable) -> ConfigurationView<'a> {
         ConfigurationView {
             table,
@@ -146,8 +146,8 @@
     /// Returns the number of connections that this node may have to one runner of
     /// `service`: an equal share of the service's limit, at least 1.
     fn connection_share(&self, service: &str) -> u32 {
-        /// Fraction of the limit that is divided among the known nodes. The remainder is
-        /// for nodes that do not know of each other yet.
+        /// Fraction of the limit that is divided among the known nodes. The remainder covers
+        /// nodes that do not know of each other yet.
         const USED_FRACTION: f64 = 0.8;
         let routes = self.routes.borrow();
         let limit = routes
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -14,7 +14,8 @@
     pub id: Option<String>,
 }
 
-/// The bytes that are not split yet exceed the maximum length of an event.
+/// Error of [`EventSplitter::push`]: the bytes not yet returned as events exceed the maximum
+/// length of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -11,8 +11,8 @@
 pub enum Stage {
     /// The process is ready and accepts requests.
     Running,
-    /// The process was told to stop. It reports itself as not ready but still accepts
-    /// requests.
+    /// The process has received the signal to stop. It reports itself as not ready but still
+    /// accepts requests.
     Draining,
     /// Requests that would not end in time are refused, and callers' idle connections are
     /// closed.
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -16,7 +16,7 @@
     pub limits: Vec<LimitUpdate>,
     /// Runners that signalled that they are draining.
     pub draining: Vec<DrainingUpdate>,
-    /// Requests that must not be sent to any runner, since they crash runners.
+    /// Requests that must not be sent to any runner because they crash runners.
     pub quarantined: Vec<QuarantineUpdate>,
 }
 
@@ -35,11 +35,12 @@
         /// Updates on runners and requests that the sender passes on.
         news: ClusterUpdates,
     },
-    /// Attempts in flight of all nodes behind one relay, sent to the other relays.
+    /// Attempts in flight of all nodes that send their load to one relay, sent by it to the
+    /// other relays.
     RelaySum {
         /// Name of the sending relay.
         relay: Arc<str>,
-        /// Sum over the relay's nodes.
+        /// Sum over the nodes that send their load to the relay.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
         news: ClusterUpdates,
@@ -64,7 +65,8 @@
     },
     /// Models and adapters that are loaded on runners, sent by the placement leader.
     Held {
-        /// What is loaded and what is being changed by orders, one item for each runner.
+        /// Loaded models and adapters, and the changes in progress by orders; one item for
+        /// each runner.
         inventories: Vec<Inventory>,
         /// Whether a relay has forwarded the message already, so that the receiver does
         /// not forward it again.
@@ -76,7 +78,7 @@
     QuotaAnswer {
         /// The number that the requesting node gave to its request.
         number: u64,
-        /// Whether the permit is granted.
+        /// Whether the permit is granted, and the node's reserve.
         answer: QuotaAnswer,
     },
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -13,7 +13,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// Upper bounds of the buckets of histograms of times, in seconds.
+/// Upper bounds of the buckets of all histograms of durations, in seconds.
 const TIME_BUCKETS: [f64; 12] = [
     0.005, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.5, 3.0, 6.0, 15.0, 30.0,
 ];
@@ -38,7 +38,7 @@
     kind: &'static str,
 }
 
-/// Labels of calls: the name of the call and how it ended.
+/// Labels of calls and decisions: the kind of call, and its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
     call: &'static str,
@@ -177,8 +177,8 @@
             .inc();
     }
 
-    /// Counts a decision on a quota or rate limit. `call` says who made it: the limit owner
-    /// or this node's reserve.
+    /// Counts a decision on a permit request of this node. `call` says on which kind of limit,
+    /// and whether the limit owner or this node's reserve decided.
     pub fn quota_decided(&self, call: &'static str, outcome: &'static str) {
         self.quota_decisions
             .get_or_create(&CallLabels { call, outcome })
@@ -206,8 +206,8 @@
             .observe(seconds);
     }
 
-    /// Counts the end of an attempt at a runner. `outcome` says whether the request may have
-    /// run.
+    /// Counts the end of an attempt at a runner. `outcome`: `answered`, or whether the request
+    /// may have run.
     pub fn attempt_ended(&self, call: &'static str, outcome: &'static str) {
         let labels = CallLabels { call, outcome };
         self.attempts.get_or_create(&labels).inc();
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -12,7 +12,7 @@
 /// are removed.
 const UNUSED_ALLOWANCE: usize = 1024;
 
-/// The interned names.
+/// A set of interned names. Names that no runner's entry uses are removed from time to time.
 #[derive(Debug, Default)]
 pub struct Names {
     interned: HashSet<Arc<str>>,
@@ -25,9 +25,9 @@
     pub fn intern_names(&mut self, runner: &mut Runner) {
         self.intern(&mut runner.service);
         self.intern(&mut runner.zone);
-        for held in &mut runner.models {
-            self.intern(&mut held.model);
-            self.intern_all(&mut held.adapters);
+        for loaded in &mut runner.models {
+            self.intern(&mut loaded.model);
+            self.intern_all(&mut loaded.adapters);
         }
         runner.models.shrink_to_fit();
         self.intern_all(&mut runner.copies.memory);
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -40,22 +40,22 @@
 const RESERVED_DESCRIPTORS: usize = 1200;
 /// Lower bound of the number of callers' connections, and the limit of the metrics listener.
 const MIN_CONNECTIONS: usize = 64;
-/// Time after the signal to stop in which load balancers may still open new connections.
+/// Time after the signal to stop for which load balancers may still open new connections.
 const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(2600);
 /// Time before the end of the grace period at which the remaining requests are cut off.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Interval at which the settings are read again without a SIGHUP.
+/// Time without a SIGHUP after which the settings are read again.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval at which idle connections are checked for expiry.
+/// Interval at which expired idle connections to runners are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reason why a gateway could not be started.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// An address of the settings could not be bound.
-    #[error("{what} {address}: {cause}")]
+    /// An address in the settings could not be bound, for example because it is in use.
+    #[error("cannot bind the {what} {address}: {cause}")]
     Address {
-        /// What the gateway needs the address for.
+        /// Kind of the address, such as `caller address`.
         what: &'static str,
         /// The address with its port.
         address: String,
@@ -77,11 +77,11 @@
 }
 
 impl PlacementOptions {
-    /// Completes the planner's settings with the limits on the rate of loads.
-    fn with_pace(self, pace: LoadRateLimits) -> PlannerSettings {
+    /// Returns the planner's settings: these options and the limits on the rate of loads.
+    fn planner_settings(self, load_rate_limits: LoadRateLimits) -> PlannerSettings {
         PlannerSettings {
             policy: self.policy,
-            load_rate_limits: pace,
+            load_rate_limits,
             switches: self.switches,
         }
     }
@@ -93,11 +93,11 @@
     read_settings: impl Fn() -> Result<NodeSettings, String> + Send + 'static,
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: PlacementOptions,
+    placement_options: PlacementOptions,
 ) -> Result<(), NodeError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
     let hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
-    let gateway = Gateway::start(settings, dialect, placing, Arc::new(Sockets)).await?;
+    let gateway = Gateway::start(settings, dialect, placement_options, Arc::new(Sockets)).await?;
     let dispatch = gateway.context.dispatch.clone();
     let limits = retry_budget(&gateway.context.settings);
     crate::tasks::spawn(follow_settings(hangup, read_settings, limits, dispatch));
@@ -108,7 +108,8 @@
     Ok(())
 }
 
-/// A running gateway, in production or in a run in virtual time.
+/// A running gateway. [`run`] starts one per process; tests in virtual time start several in
+/// one process.
 pub struct Gateway {
     context: Context,
     stage: watch::Sender<Stage>,
@@ -120,16 +121,17 @@
     pub async fn start(
         settings: NodeSettings,
         dialect: Arc<dyn Dialect>,
-        placing: PlacementOptions,
+        placement_options: PlacementOptions,
         network: Arc<dyn Network>,
     ) -> Result<Self, NodeError> {
         let (stage, lifecycle) = Lifecycle::running();
-        let context = start(settings, dialect, placing, network, lifecycle).await?;
+        let context = start(settings, dialect, placement_options, network, lifecycle).await?;
         Ok(Self { context, stage })
     }
 
-    /// Stops the gateway in order. It still accepts requests while load balancers may send
-    /// some, then waits until no request is in flight or the grace period is over.
+    /// Stops the gateway in order. It first accepts requests as long as load balancers may
+    /// still send some, then waits until no request is in flight or the grace period is almost
+    /// over.
     pub async fn stop(&self) {
         drain(&self.context, &self.stage).await;
     }
@@ -145,6 +147,7 @@
     dispatch: DispatchHandle,
 ) {
     loop {
+        // Whether this reading follows a SIGHUP.
         let told = timeout(SETTINGS_INTERVAL, hangup.recv()).await.is_ok();
         match read_settings() {
             Err(cause) => tracing::warn!(event = "settings_rejected", cause),
@@ -163,7 +166,8 @@
     }
 }
 
-/// Takes the process through its stages until it may end.
+/// Takes the process through the stages `Draining` and `Closing`. Returns when no request is
+/// in flight, or [`KILL_MARGIN`] before the grace period ends.
 async fn drain(context: &Context, stage: &watch::Sender<Stage>) {
     let deadline = Instant::now() + context.settings.bounds.grace_period - KILL_MARGIN;
     context.lifecycle.set_deadline(deadline);
@@ -178,12 +182,12 @@
 async fn start(
     settings: NodeSettings,
     dialect: Arc<dyn Dialect>,
-    placing: PlacementOptions,
+    placement_options: PlacementOptions,
     network: Arc<dyn Network>,
     lifecycle: Lifecycle,
 ) -> Result<Context, NodeError> {
     let settings = Arc::new(settings);
-    let urgent = Arc::new(Notify::new());
+    let urgent_demand = Arc::new(Notify::new());
     let (routes_sender, routes) = watch::channel(None);
     let (confirmed_sender, confirmed_at) = watch::channel(None);
     let (quota, quota_inbox) = quota::channel();
@@ -209,7 +213,7 @@
         confirmed_at,
         quota,
         access_bounds: AccessBounds::new(&settings.bounds),
-        dispatch: dispatch::start(dispatcher, urgent.clone(), rate_permits),
+        dispatch: dispatch::start(dispatcher, urgent_demand.clone(), rate_permits),
         crashes,
         pool: Arc::default(),
         lifecycle,
@@ -226,8 +230,8 @@
     let (placement_handle, placement_inbox) = placement::channel();
     let (peer_handle, peer_inbox) = peers::channel();
     let (leader_sender, leader) = watch::channel(None);
-    let (settled_era_sender, settled_era) = watch::channel(0);
-    let (held, lease) = watch::channel(None);
+    let (lease_era_sender, lease_era) = watch::channel(0);
+    let (lease, watched_lease) = watch::channel(None);
     let (changes_sender, changes) = mpsc::channel(CHANGE_QUEUE);
 
     let socket = network
@@ -253,7 +257,7 @@
         placement: placement_handle.clone(),
         peers: peer_handle.clone(),
         leader: leader_sender,
-        lease_era: settled_era_sender,
+        lease_era: lease_era_sender,
         confirmed_at: confirmed_sender,
         configuration_keeper: ConfigurationKeeper {
             context: context.clone(),
@@ -270,18 +274,18 @@
         restore_tracker: RestoreTracker::default(),
         evacuated_zones: BTreeMap::new(),
     };
-    let heard = peer_handle.seen_peers();
+    let seen_peers = peer_handle.seen_peers();
     let feed_peers = peer_handle.seen_peers();
-    let pace = LoadRateLimits {
+    let load_rate_limits = LoadRateLimits {
         window: settings.bounds.load_window,
         overage: settings.bounds.load_overage,
     };
-    let planner = Planner::new(placing.with_pace(pace), now);
+    let planner = Planner::new(placement_options.planner_settings(load_rate_limits), now);
     let quota_task = QuotaTask::new(context.clone(), peer_handle.clone(), quota_inbox);
     let placement_task = PlacementTask::new(
         context.clone(),
         planner,
-        lease,
+        watched_lease,
         peer_handle,
         placement_handle.clone(),
         placement_inbox,
@@ -292,31 +296,31 @@
         peer_inbox,
         leader.clone(),
         placement_handle,
-        urgent,
+        urgent_demand,
     );
     let lease_keeper = LeaseKeeper {
         context: context.clone(),
         store: store.clone(),
         leader,
-        lease_era: settled_era,
-        seen_peers: heard,
-        lease: held,
+        lease_era,
+        seen_peers,
+        lease,
     };
     crate::tasks::spawn(discovery.run(changes));
-    let (feed_state, feed_seen) = watch::channel(FeedState::default());
+    let (feed_state_sender, feed_state) = watch::channel(FeedState::default());
     let feed_task = FeedTask::new(
         context.clone(),
         store.with_own_connections(),
         feed_peers,
-        feed_state,
+        feed_state_sender,
         changes_sender,
     );
-    crate::tasks::spawn(feed::serve(follower_listener, feed_seen.clone()));
+    crate::tasks::spawn(feed::serve(follower_listener, feed_state.clone()));
     crate::tasks::spawn(feed_task.run());
     crate::tasks::spawn(register::register(
         store,
         context.clone(),
-        feed_seen.clone(),
+        feed_state.clone(),
     ));
     crate::tasks::spawn(peer_task.run());
     crate::tasks::spawn(placement_task.run());
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,5 +1,5 @@
 //! Applies the signals that runners send in the headers of their answers (rate limit,
-//! draining, requested pause), whatever call the answer belongs to.
+//! draining, requested pause), for calls of all kinds.
 
 use barleyspar_catalog::{AnswerFacts, Runner, RunnerSignals};
 use barleyspar_dispatch::AdvertisedLimit;
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::journal;
 
-/// The call to which an answer with signals belongs.
+/// A call to a runner whose answer may carry signals.
 pub struct SignalledCall<'a> {
     /// The runner to which the call was sent.
     pub runner: &'a Runner,
@@ -35,17 +35,17 @@
     }
     let RunnerSignals {
         limit,
-        draining: leaves,
-        requested_pause: pause,
+        draining,
+        requested_pause,
     } = facts.signals;
     if limit.is_some() || call.limit_expected {
         apply_limit(context, call, facts);
     }
-    if leaves {
+    if draining {
         context.metrics.runner_signal(call.call, "leaves");
         context.dispatch.mark_draining(call.runner.id.clone());
     }
-    if let Some(pause) = pause {
+    if let Some(pause) = requested_pause {
         context.metrics.runner_signal(call.call, "pause");
         journal::runner_requested_pause(&call.runner.id, call.call, pause);
         context
--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -35,7 +35,7 @@
         tasks.drain(..).for_each(|task| task.abort());
     }
 
-    /// Adds a task, and removes the finished ones.
+    /// Adds a task, and removes the finished ones so that the list does not grow without bound.
     fn add(&self, task: AbortHandle) {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.retain(|task| !task.is_finished());
--- a/crates/gateway/src/trust.rs
+++ b/crates/gateway/src/trust.rs
@@ -1,7 +1,7 @@
 //! The trust boundary between callers and runners: decides which headers cross it.
 //!
-//! The decision depends on the owner of a header, not on a list of headers that callers
-//! forged before. A runner obeys the headers of a request, so a caller that could set the
+//! The decision depends on the owner of a header, not on a list of forbidden headers, which
+//! would never be complete. A runner obeys the headers of a request, so a caller that could set the
 //! system's own headers could have its request held, redirected or refused.
 
 use barleyspar_catalog::HeaderOwner;
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -128,12 +128,14 @@
         });
     }
 
-    /// Returns whether the idle connection may be reused, now or soon.
+    /// Returns whether the idle connection is open and within its idle limit, so that it may
+    /// be reused, now or soon.
     pub fn is_alive(&self) -> bool {
         !self.sender.is_closed() && self.idle_since.elapsed() < self.idle_limit
     }
 
-    /// Returns whether the idle connection may be reused now.
+    /// Returns whether the idle connection may be reused now: it is alive and has been idle
+    /// for long enough to show excess bytes of the peer.
     pub fn is_ready(&self) -> bool {
         self.is_alive()
             && self.sender.is_ready()
@@ -141,7 +143,7 @@
     }
 
     /// Closes the connection and discards all bytes of the request that are not delivered
-    /// yet. The peer may not notice the close, since a lost reset is not sent again.
+    /// yet. The peer may not notice the close, because a lost reset is not sent again.
     pub fn discard(self) {
         self.socket.discard_unsent();
     }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -6,7 +6,8 @@
 
 use crate::upstream::Connection;
 
-/// Counts one open connection to a runner until it is dropped.
+/// Counts one open connection to a runner against this node's share. Dropping it frees the
+/// share.
 #[derive(Debug)]
 pub struct OpenSlot(Arc<AtomicU32>);
 
@@ -61,8 +62,8 @@
         act(&mut entries)
     }
 
-    /// Returns an idle connection to `runner`, or the slot for a new one if fewer than
-    /// `share` are open.
+    /// Returns an idle connection to the runner with the id `runner`, or the slot for a new
+    /// one if fewer than `share` are open.
     pub fn checkout(&self, runner: &Arc<str>, share: u32) -> Checkout {
         self.with_entries(|entries| {
             let entry = entries.entry(runner.clone()).or_default();
