--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -70,7 +70,8 @@
     pub model: Option<&'a str>,
     /// Body of the request; `None` sends the request id as the body.
     pub body: Option<&'a str>,
-    /// Time that the client waits, sent as the deadline header.
+    /// Time within which the gateway must answer, sent as the deadline header. The client
+    /// itself does not stop waiting.
     pub deadline: Duration,
 }
 
--- a/crates/standin/src/dialect.rs
+++ b/crates/standin/src/dialect.rs
@@ -60,7 +60,7 @@
     pub const READINESS_PATH: &str = "/ready";
 }
 
-/// [`Dialect`] of the tests.
+/// [`Dialect`] with which the tests run gateways: it reads and writes this wire format.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeDialect;
 
--- a/crates/standin/src/network.rs
+++ b/crates/standin/src/network.rs
@@ -37,8 +37,8 @@
     cuts: BTreeSet<(IpAddr, IpAddr)>,
     /// Number of streams opened so far; a stream's number is its position among them.
     opened_streams: u64,
-    /// By pair of hosts, number of the last stream that is stalled for good; so are all
-    /// streams of the pair before it.
+    /// For each pair of hosts, the number of the last stream opened before the latest stall.
+    /// The streams of the pair up to this number deliver nothing ever again.
     last_stalled: BTreeMap<(IpAddr, IpAddr), u64>,
     wakers: Vec<Waker>,
     refused_connections: u64,
@@ -81,7 +81,8 @@
         self.lock().refused_connections
     }
 
-    /// Ends all cuts. Stalled connections stay stalled.
+    /// Ends all cuts. Stalled streams stay stalled, and connection attempts made during a cut hang
+    /// on.
     pub fn heal(&self) {
         let wakers = {
             let mut state = self.lock();
@@ -226,7 +227,8 @@
     stream: DuplexStream,
     /// Whether one of the ends has reset the connection; shared by both ends.
     reset: Arc<AtomicBool>,
-    /// Whether a read found the hosts cut off from each other.
+    /// Whether bytes or the end of this stream may have been held back: a read found the hosts
+    /// cut off from each other.
     read_during_cut: bool,
     /// Delay after which the end of the stream is delivered; set when it is first read.
     end_delay: Option<Pin<Box<Sleep>>>,
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -44,7 +44,7 @@
 /// Time that a plain request runs.
 const PLAIN_RUN_TIME: Duration = Duration::from_millis(30);
 
-/// How a runner fails the requests that it runs.
+/// How a runner misbehaves towards all requests that it gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The runner runs the request and then resets the connection.
@@ -53,9 +53,10 @@
     NeverAnswer,
     /// The runner answers that it did not run the request.
     Reject,
-    /// The runner breaks its streams off after this number of events.
+    /// The runner breaks the connection off after this number of events of an answer.
     BreakStream(u64),
-    /// The runner's streams stop after this number of events, and stay open.
+    /// The runner sends nothing more after this number of events of an answer, and keeps the
+    /// connection open.
     StallStream(u64),
     /// Each event of the runner's streams has this number of additional bytes.
     LongEvents(usize),
@@ -69,22 +70,23 @@
     }
 }
 
-/// A run of a request at a runner.
+/// One execution of a request by a runner. Requests that the runner rejects have none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
     /// Id that the client gave the request.
     pub request_id: String,
     /// Headers of the request as they reached the runner.
     pub headers: HeaderMap,
-    /// Body of the request.
+    /// Body of the request as it reached the runner.
     pub body: Bytes,
-    /// When the run began.
+    /// Time at which the runner accepted the request and began to run it.
     pub started_at: Instant,
     /// Whether the run ended by itself and was not cancelled.
     pub complete: bool,
 }
 
 /// A call that a runner received: a request, an order, or a call for its report.
+/// Calls that are addressed to another runner are not recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
     /// When the runner received the call.
@@ -110,7 +112,7 @@
     calls: Vec<Call>,
     signals: Signals,
     orders: Vec<(Instant, Order)>,
-    /// Number of orders yet to come whose answers are lost.
+    /// Number of the next orders that the runner leaves unanswered.
     lose_order_answers: u32,
     /// Number of orders accepted in this incarnation.
     sequence: u64,
@@ -118,7 +120,7 @@
     highest_token: u64,
     /// Whether a model is being loaded or unloaded.
     busy: bool,
-    /// Models and their adapters that are being loaded.
+    /// Model and name of each adapter that is being loaded.
     pending_adapters: Vec<(Arc<str>, Arc<str>)>,
     /// Whether an order has ever exceeded the engine's memory.
     overcommitted: bool,
@@ -243,8 +245,8 @@
     }
 
     /// Crashes the runner and starts its next incarnation, with the same name and address. The
-    /// new incarnation has `models` loaded and no state of the former one. It does not write
-    /// its entry; [`Self::publish_entry`] does.
+    /// new incarnation has `models` loaded and no state of the former one, but the faults that
+    /// the test has set stay. It does not write its entry; [`Self::publish_entry`] does.
     pub fn restart(&self, network: &MemoryNetwork, models: &[&str]) {
         self.crash(network);
         let address = {
@@ -312,7 +314,8 @@
         });
     }
 
-    /// Loses the answers to the next `count` orders. The orders are carried out.
+    /// Leaves the next `count` orders unanswered. The runner still carries out those that it
+    /// accepts.
     pub fn lose_order_answers(&self, count: u32) {
         self.lock().lose_order_answers = count;
     }
--- a/crates/standin/src/runner/orders.rs
+++ b/crates/standin/src/runner/orders.rs
@@ -84,7 +84,8 @@
         StatusCode::ACCEPTED
     }
 
-    /// Applies an accepted order after the time that it takes, and writes the runner's entry.
+    /// Carries out an accepted order, a load after its load time, and writes the runner's entry.
+    /// The unload of an adapter is already done when the order is accepted.
     async fn carry_out(self, action: OrderAction) {
         let load_time = self
             .engine
--- a/crates/standin/src/runner/signals.rs
+++ b/crates/standin/src/runner/signals.rs
@@ -16,7 +16,7 @@
     pub at: Instant,
     /// Host of the node to which the runner sent the request for a pause.
     pub node: IpAddr,
-    /// Length of the pause.
+    /// Time from `at` for which the node must send no call to the runner.
     pub duration: Duration,
 }
 
--- a/crates/standin/src/store/data.rs
+++ b/crates/standin/src/store/data.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Default)]
 pub struct StoreData {
     era: u32,
-    /// Number of the last change or lease.
+    /// Number given to the last change or lease; both take their numbers from this counter.
     last_number: u64,
     items: BTreeMap<String, LeasedItem>,
     history: Vec<Event>,
@@ -173,7 +173,8 @@
         })
     }
 
-    /// Executes a call. Watches are answered elsewhere, as they wait for changes.
+    /// Executes a call that is answered at once. Panics for a watch, which waits for changes
+    /// and is answered by [`StoreStandIn`](super::StoreStandIn).
     pub(super) fn execute(&mut self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
         match call {
             StoreCall::Range { prefix, after, .. } => Ok(self.page(prefix, after.as_deref())),
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -56,7 +56,7 @@
 struct Faults {
     down: bool,
     refused_hosts: BTreeSet<IpAddr>,
-    /// Number of changes yet to come whose answers are lost.
+    /// Number of the next commits and lease grants that the store leaves unanswered.
     lose_change_answers: u32,
     extra_latency: Duration,
     time_per_item: Duration,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Loses the answers to the next `count` changes. The changes are made.
+    /// Leaves the next `count` commits and lease grants unanswered. They take effect as usual.
     pub fn lose_change_answers(&self, count: u32) {
         self.lock().faults.lose_change_answers = count;
     }
@@ -280,7 +280,8 @@
         self.lock().faults.time_per_item * items as u32
     }
 
-    /// Whether the answer to `call` is lost; counts it if so.
+    /// Whether `call` is to be left unanswered; if so, one fewer of the next commits and lease
+    /// grants is.
     fn loses_answer(&self, call: &StoreCall) -> bool {
         let mut state = self.lock();
         let is_change = matches!(call, StoreCall::Commit(_) | StoreCall::GrantLease { .. });
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -31,14 +31,15 @@
 /// Zone of all gateways.
 const ZONE: &str = "zone";
 const STORE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 1);
-/// Host of all clients.
+/// Host from which all clients connect.
 const CLIENT_HOST: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 9, 9));
 
 /// A simulated site: the store, runners and gateways on one network.
 pub struct World {
-    /// Network between all parts of the site.
+    /// In-memory network that connects clients, gateways, runners and the store; tests cut and
+    /// stall its connections.
     pub network: MemoryNetwork,
-    /// Key-value store of the site.
+    /// Key-value store that holds the configuration and the entries of runners and gateways.
     pub store: StoreStandIn,
     /// Runners by name, including crashed and draining ones.
     pub runners: BTreeMap<String, RunnerStandIn>,
@@ -131,8 +132,9 @@
         runner
     }
 
-    /// Writes entries of `count` runners of `service` to the store, with two models loaded and
-    /// weight copies of four each. The runners do not exist: nothing listens at their address.
+    /// Writes entries of `count` runners of `service` to the store. Each has two models loaded
+    /// and weight copies of four models on disk, of two of them also in memory. The runners do
+    /// not exist: nothing listens at their address.
     pub fn add_runner_entries(&self, service: &str, count: usize) {
         let service = &self.configuration.services[service];
         let engine = service.engine.as_ref().expect("the service has an engine");
@@ -201,7 +203,8 @@
         self.gateways.insert(number, process);
     }
 
-    /// Starts the gateways with these numbers at the same time.
+    /// Starts the gateways with these numbers at the same time, with the default bounds, and
+    /// waits until all of them listen.
     pub async fn start_gateways(&mut self, numbers: RangeInclusive<u8>) {
         let start = |number| self.start_process(number, settings(number));
         let started = join_all(numbers.clone().map(start)).await;
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Returns the running gateway `number`.
+    /// Returns gateway `number`. Panics if it is not running.
     pub fn gateway(&self, number: u8) -> Arc<Gateway> {
         self.gateways[&number].gateway.clone()
     }
@@ -261,7 +264,7 @@
     }
 
     /// Sends a request with this deadline to gateway `number`, otherwise as [`Self::request`].
-    /// Only the gateway keeps the deadline.
+    /// Only the gateway enforces the deadline; the client waits for the answer without a limit.
     pub async fn request_with_deadline(
         &self,
         number: u8,
@@ -336,7 +339,8 @@
             .find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// Runs the site for `time` of its clock.
+    /// Lets the site run for `time` of the tokio clock, which takes little real time in tests
+    /// with a paused clock.
     pub async fn run_for(&self, time: Duration) {
         sleep(time).await;
     }
@@ -359,7 +363,8 @@
     }
 }
 
-/// Kills the gateways of the site, so that a test with many sites runs one at a time.
+/// Dropping a site kills its gateways, so that their tasks do not run on beside the next site
+/// of the same test.
 impl Drop for World {
     fn drop(&mut self) {
         for process in self.gateways.values() {
