--- a/crates/standin/tests/callers.rs
+++ b/crates/standin/tests/callers.rs
@@ -132,7 +132,8 @@
         assert_eq!(answer.code(), 503, "gateway {victim}");
         assert!(answer.headers.contains_key("retry-after"));
         assert_eq!(world.run_count("late"), 0);
-        // It is not ready, and cannot tell whether a credential is known.
+        // The cut-off gateway is not ready, and refuses an unknown credential in the same way
+        // as a known one, as it cannot tell them apart.
         assert_eq!(world.readiness_status(victim).await, 503);
         assert_eq!(request(&world, victim, "who", "secret-9").await.code(), 503);
         assert_eq!(
@@ -216,7 +217,7 @@
     let world = world().await;
     let extra = [(names::CREDENTIAL, "secret-1")];
     let answer = world.request_with_headers(2, "/stream/x", "waits", Some("rare"), &extra);
-    // The store takes the change before the model is loaded, which takes one second.
+    // The credential is revoked while the model is being loaded, which takes one second.
     let store = world.store.clone();
     let mut newer = world.configuration().clone();
     newer.version += 1;
--- a/crates/standin/tests/crashing_request.rs
+++ b/crates/standin/tests/crashing_request.rs
@@ -12,15 +12,16 @@
 const SECOND: Duration = Duration::from_secs(1);
 const GATEWAYS: u8 = 6;
 const RUNNERS: u8 = 8;
-/// Body of the requests that crash runners.
+/// Request body at which all runners of the site crash.
 const CRASHING_BODY: &str = "deadly";
 /// Number of crashes after which the request that was running at each of them is quarantined.
 const CRASHES_TO_QUARANTINE: usize = 3;
-/// Time from the last of these crashes within which all gateways apply the quarantine.
+/// Time from the crash that reaches [`CRASHES_TO_QUARANTINE`] within which all gateways must
+/// apply the quarantine.
 const QUARANTINED_WITHIN: Duration = Duration::from_secs(3);
-/// Number of runs of the request that are allowed after that.
+/// Number of runs of a crashing request that are allowed after [`QUARANTINED_WITHIN`].
 const MAX_LATE_RUNS: usize = 3;
-/// Pause between two attempts of the client.
+/// Time from an answer to the next attempt of the client, which sends the same body again.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 const SEEDS: u64 = 20;
@@ -36,7 +37,8 @@
     world_with(2).await
 }
 
-/// The same site, with a maximum number of runners that the gateways send a request to.
+/// Returns the site of [`world`], but with gateways that send a request to at most
+/// `maximum_attempts` runners.
 async fn world_with(maximum_attempts: u32) -> World {
     let routes = [
         route("/plain/", "plain", RequestKind::Idempotent),
--- a/crates/standin/tests/evacuation.rs
+++ b/crates/standin/tests/evacuation.rs
@@ -34,8 +34,8 @@
     near.map(|(_, runner)| runner.request_count()).sum()
 }
 
-/// Sends `times` requests to every gateway and asserts that all are served. `label` begins
-/// their ids.
+/// Sends `times` requests to every gateway and asserts that all are served. The request ids
+/// start with `label`.
 async fn assert_served_by_all(world: &World, times: usize, label: &str) {
     for number in 1..=GATEWAYS {
         for time in 0..times {
--- a/crates/standin/tests/feed.rs
+++ b/crates/standin/tests/feed.rs
@@ -42,7 +42,8 @@
     let before = world.store.call_count();
     world.run_for(60 * SECOND).await;
     let calls = world.store.call_count() - before;
-    // One gateway polls two or three times per second; besides, all renew their leases.
+    // The calls expected are two or three polls per second by one gateway, and the renewals of
+    // the leases of all gateways.
     assert!(calls < 60 * 6, "{calls} calls in a minute");
 }
 
@@ -232,9 +233,9 @@
     world.store.set_down(false);
 }
 
-/// Only one gateway reaches the store. Calls to the unreachable store must not keep the others
-/// from calling peers, nor calls to peers without a newer view keep the one from calling the
-/// store.
+/// Only one gateway reaches the store. The others must not be kept from calling their peers by
+/// calls to the store that hang, and the one must not be kept from calling the store by calls to
+/// peers that have no newer view.
 #[tokio::test(start_paused = true)]
 async fn changes_reach_gateways_that_cannot_reach_the_store() {
     for connected in 1..=GATEWAYS {
@@ -306,6 +307,6 @@
     let before = world.store.read_call_count();
     world.run_for(9 * SECOND).await;
     let read_calls = world.store.read_call_count() - before;
-    // One call may have been sent before.
+    // One call is allowed, as it may be sent before the answer begins to arrive.
     assert!(read_calls <= 1, "{read_calls} read calls");
 }
--- a/crates/standin/tests/limits.rs
+++ b/crates/standin/tests/limits.rs
@@ -17,7 +17,8 @@
 /// Time within which all gateways that call the runner apply its limit.
 const PROPAGATED_WITHIN: Duration = Duration::from_millis(500);
 
-/// Maximum number of calls in a window that a runner with this limit may get.
+/// Maximum number of calls in a window that a runner with this limit may get: half more than
+/// its limit, and five calls.
 fn max_calls(per_second: f64) -> usize {
     (per_second * 1.5 * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -33,7 +34,8 @@
     window_starts.map(calls_in_window).max().unwrap_or(0)
 }
 
-/// Number of calls from `from` on: of requests, or else of the leader's other calls.
+/// Number of calls that `runner` received from `from` on: requests if `requests` is set, and
+/// otherwise orders and calls for reports.
 fn calls_since(runner: &RunnerStandIn, from: Instant, requests: bool) -> usize {
     let calls = runner.calls();
     let counted = calls
@@ -120,7 +122,8 @@
     let gateways: Vec<u8> = (1..=MANY_GATEWAYS).collect();
     send_load(&world, PLAIN, 48, SECOND, &gateways).await;
     runner.advertise_limit(Some(1.0));
-    // Updates go over relays, which takes longer.
+    // With so many gateways, updates go over relays, so a second is allowed instead of
+    // [`PROPAGATED_WITHIN`].
     let propagated = Instant::now() + SECOND;
     let answers = send_load(&world, PLAIN, 48, 12 * SECOND, &gateways).await;
     assert_eq!(served_count(&answers), answers.len());
@@ -294,7 +297,8 @@
 const MODELS: usize = 20;
 /// Number of loads over which [`mean_in_time_fraction`] takes the mean.
 const RUNS: usize = 6;
-/// Time that a model takes to load.
+/// Time that an engine takes to load a model in [`in_time_fraction`], long enough that a stream
+/// for a model that is not loaded is late.
 const LOAD_TIME: Duration = Duration::from_secs(2);
 /// Time within which a stream must be complete to count as in time: its own duration and the
 /// target latency.
--- a/crates/standin/tests/limits_random.rs
+++ b/crates/standin/tests/limits_random.rs
@@ -32,7 +32,7 @@
     until: Option<Instant>,
 }
 
-/// The state of one random run.
+/// A site under random changes, and the limits that its runners advertised since the start.
 struct Run {
     world: World,
     random: StdRng,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Makes one random change.
+    /// Changes a runner's limit, kills or starts a gateway, or cuts or heals the network,
+    /// chosen at random.
     async fn change(&mut self) {
         match self.random.random_range(0..10) {
             0..5 => self.change_limit(),
@@ -139,8 +140,8 @@
         join_all(answers).await;
     }
 
-    /// Describes the first period in which its runner got more calls in a window than its
-    /// limit allows; `None` if there is none.
+    /// Describes the first period in which its runner got more calls in a window than allowed:
+    /// half more than its limit, and five calls. `None` if there is none.
     fn exceeded_limit(&self) -> Option<String> {
         self.limit_periods.iter().find_map(|period| {
             let from = period.from + PROPAGATED_WITHIN;
--- a/crates/standin/tests/lives.rs
+++ b/crates/standin/tests/lives.rs
@@ -56,8 +56,9 @@
     assert!(!engine.overcommitted());
 }
 
-/// The store is down, so the leader learns of the new incarnation only from its report. Orders
-/// based on the models of the former one would exceed its memory.
+/// Guards against orders that exceed a restarted engine's memory because they are based on the
+/// models that its former incarnation had. The store is down, so the leader learns of the new
+/// incarnation only from the engine's report.
 #[tokio::test(start_paused = true)]
 async fn a_runner_that_restarts_during_a_store_outage_is_not_overcommitted() {
     let world = world().await;
--- a/crates/standin/tests/quota.rs
+++ b/crates/standin/tests/quota.rs
@@ -45,17 +45,17 @@
     world
 }
 
-/// Numbers of requests by their result.
+/// Number of requests that were served, refused for the quota, or answered otherwise.
 #[derive(Default)]
 struct ResultCounts {
     served: u32,
-    /// Refused for the quota, with status 429.
+    /// Number of requests refused with status 429, as the tenant's quota was used up.
     limited: u32,
     other: u32,
 }
 
 /// Sends `rate` requests per second of the limited tenant for `time` to `gateways` in turn.
-/// `run` begins their ids. Returns the counts of the results.
+/// The request ids start with `run`. Returns the counts of the results.
 async fn send_load(
     world: &World,
     rate: u32,
--- a/crates/standin/tests/relays.rs
+++ b/crates/standin/tests/relays.rs
@@ -82,8 +82,8 @@
     world.kill_gateway(former);
     let other = former % GATEWAYS + 1;
     let took = answer_time(&world, other, "after", "f").await;
-    // Two seconds without word from the leader, a staggered delay, one second to load, and the
-    // run.
+    // The time is spent on two seconds without word from the leader, the staggered delay of its
+    // successor, one second to load the model, and the run of the request.
     assert!(took < 6 * SECOND, "{took:?}");
     assert_ne!(leader(&world), former);
 }
--- a/crates/standin/tests/restored_store.rs
+++ b/crates/standin/tests/restored_store.rs
@@ -37,7 +37,7 @@
     world_with(|_| {}).await
 }
 
-/// Makes this number of changes under a key that gateways do not use.
+/// Makes `changes` changes to the store under a key that gateways do not use.
 fn write_unused_key(world: &World, changes: usize) {
     for number in 0..changes {
         let value = number.to_string().into_bytes();
@@ -107,8 +107,8 @@
     rewrite_all(&mut world);
     add_route(&mut world, "/added/");
     world.runners["plain-1"].drain();
-    // The new revision numbers exceed those that the gateways know when they reach the store
-    // again.
+    // These changes raise the store's revision number above the one that the gateways know from
+    // before the restore, so the number does not show that the store was restored.
     write_unused_key(&world, 80);
     world.network.heal();
     world.run_for(CHANGE_BOUND).await;
--- a/crates/standin/tests/restored_store_random.rs
+++ b/crates/standin/tests/restored_store_random.rs
@@ -28,7 +28,7 @@
 const LOADED_WITHIN: Duration = Duration::from_secs(10);
 const MODELS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// The state of one random run.
+/// A site under random changes, and what the test needs to know of them for its checks.
 struct Run {
     world: World,
     random: StdRng,
@@ -78,7 +78,9 @@
         }
     }
 
-    /// Makes one random change.
+    /// Makes one change, chosen at random: adds a route, replaces a runner, backs up, restores
+    /// or rewrites the store, sets whether it is down, cuts a gateway off from it, heals the
+    /// network, or kills or starts a gateway.
     async fn change(&mut self, fenced: bool) {
         match self.random.random_range(0..12) {
             0..2 => self.add_route(),
--- a/crates/standin/tests/runner_pauses.rs
+++ b/crates/standin/tests/runner_pauses.rs
@@ -10,7 +10,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const GATEWAYS: u8 = 6;
-/// Time after a requested pause within which calls that were sent before it may still arrive.
+/// Time after a runner requests a pause within which calls that were sent before may still
+/// arrive.
 const IN_FLIGHT: Duration = Duration::from_millis(500);
 
 async fn plain_world(runners: u8) -> World {
@@ -58,8 +59,8 @@
     join_all(answers).await
 }
 
-/// Number of calls of all kinds that the runner received from a node during a pause that it
-/// had requested of that node.
+/// Number of calls of all kinds that the runner received from a node during a pause that it had
+/// requested of that node, later than [`IN_FLIGHT`] after the request for the pause.
 fn calls_in_pauses(runner: &RunnerStandIn) -> usize {
     let calls = runner.calls();
     let calls_in_pause = |pause: &barleyspar_standin::RequestedPause| {
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -341,7 +341,8 @@
         .await;
     let took = started.elapsed();
     assert_eq!((answer.code(), answer.complete), (200, true));
-    // The load takes one second, the stream not quite another.
+    // Of this time, the load takes one second and the stream not quite another; the rest is
+    // left for the change of the leader.
     assert!(took < 5 * SECOND, "{took:?}");
 }
 
@@ -356,9 +357,9 @@
     let mut sum = Duration::ZERO;
     for step in 0..KILL_TIMES {
         let gap = time_without_orders(step * SECOND / 20).await;
-        // At least a little less than the lease's duration, as the last order was before the
-        // kill. At most the rest of the lease, that duration again, and the delays of the
-        // network.
+        // The time without orders is at least a little less than the lease's duration, as the
+        // last order was before the kill. It is at most the rest of the dead leader's lease,
+        // that duration again, and the delays of the network.
         assert!(gap > 2 * SECOND && gap < 23 * SECOND / 5, "{gap:?}");
         sum += gap;
     }
--- a/crates/standin/tests/start.rs
+++ b/crates/standin/tests/start.rs
@@ -16,13 +16,13 @@
 /// calls each (grant, commit, end). Each gateway also watched the store for the short time
 /// between reading its peers and knowing them.
 ///
-/// Three calls are needed: one to read the store, and two to write the gateway's entry under a
-/// lease.
+/// A starting gateway needs three calls: one to read the store, and two to write its entry
+/// under a lease.
 #[tokio::test(start_paused = true)]
 async fn gateways_that_start_together_call_the_store_three_times_each() {
     const CALLS_PER_GATEWAY: u64 = 3;
-    /// Allowed calls beyond those: polls of the gateway that watches the store, and a few
-    /// attempts to get the leader's lease.
+    /// Number of calls allowed beyond [`CALLS_PER_GATEWAY`] of each gateway: polls of the
+    /// gateway that watches the store, and a few attempts to get the leader's lease.
     const OTHER_CALLS: u64 = 60;
     let mut world = World::new(
         vec![plain_service("plain")],
--- a/crates/standin/tests/state.rs
+++ b/crates/standin/tests/state.rs
@@ -9,10 +9,10 @@
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Number of models of the site.
+/// Number of models that the engines of the site can load.
 const MODELS: usize = 500;
 
-/// Number of bytes on the heap now.
+/// Number of bytes that the whole process keeps on the heap now.
 fn live_bytes() -> usize {
     dhat::HeapStats::get().curr_bytes
 }
