--- a/crates/barleyspar/src/errors.rs
+++ b/crates/barleyspar/src/errors.rs
@@ -63,7 +63,8 @@
 }
 
 impl CommandError {
-    /// Exit code of the process for this error.
+    /// Returns the exit code of the process for this error. The `EXIT_` constants say what a
+    /// script may conclude from it about the change.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::File(_) | Self::Files(_) | Self::Settings(_) | Self::Policy { .. } => {
--- a/crates/standin/src/dialect.rs
+++ b/crates/standin/src/dialect.rs
@@ -32,20 +32,22 @@
     pub const CREDENTIAL: &str = "credential";
     /// Header that a gateway adds: the caller's tenant.
     pub const TENANT: &str = "tenant";
-    /// Answer header: the runner did not run the request.
+    /// Answer header whose presence says that the runner did not run the request.
     pub const NOT_RUN: &str = "not-run";
-    /// Answer header: the runner's signature.
+    /// Answer header whose presence marks an answer as signed by the runner; the value is not
+    /// checked.
     pub const SIGNATURE: &str = "signature";
     /// Answer header: limit of the runner, in requests per second from all nodes together.
     pub const LIMIT: &str = "limit";
-    /// Answer header: the runner is draining.
+    /// Answer header whose presence says that the runner is draining.
     pub const LEAVING: &str = "leaving";
     /// Answer header: requested pause, in milliseconds, for the node that receives the answer.
     pub const PAUSE: &str = "pause";
     /// Header of the store's answers: era, which rises when the store is restored from a
     /// backup.
     pub const STORE_ERA: &str = "store-era";
-    /// Store key of the configuration.
+    /// Store key of the encoded [`Configuration`](barleyspar_catalog::Configuration), which the
+    /// operators write.
     pub const CONFIGURATION_KEY: &str = "configuration";
     /// Prefix of store keys; the rest of the key is a zone that is evacuated while the key
     /// exists.
--- a/crates/standin/src/runner/mod.rs
+++ b/crates/standin/src/runner/mod.rs
@@ -320,12 +320,12 @@
         self.lock().lose_order_answers = count;
     }
 
-    /// Number of requests that are running now.
+    /// Number of requests whose runs have begun and not ended, streams included.
     pub fn running_requests(&self) -> usize {
         self.lock().running_requests
     }
 
-    /// Number of connections that are open now.
+    /// Number of connections that the runner has accepted and that are not yet closed.
     pub fn open_connections(&self) -> usize {
         self.lock().open_connections
     }
@@ -361,7 +361,8 @@
         self.lock().orders.clone()
     }
 
-    /// Whether `model` is loaded on the runner.
+    /// Whether `model` is ready for requests at the runner; a model that is still being loaded
+    /// is not.
     pub fn has_loaded(&self, model: &str) -> bool {
         let state = self.lock();
         state
--- a/crates/standin/src/runner_body.rs
+++ b/crates/standin/src/runner_body.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns an answer with this status code and body.
+/// Returns an unsigned answer with this status code and body; [`sign`] signs it.
 pub fn status_response(code: StatusCode, body: Bytes) -> Response<RunnerBody> {
     let (sender, receiver) = mpsc::channel(1);
     sender.try_send(Ok(body)).expect("the channel is empty");
--- a/crates/standin/tests/feed.rs
+++ b/crates/standin/tests/feed.rs
@@ -28,7 +28,7 @@
     world.configure(|configuration| configuration.routes.push(added.into()));
 }
 
-/// Asserts that the gateways serve the route `path`.
+/// Asserts that each of the gateways answers a plain request to `path` with status 200.
 async fn assert_route_served(world: &World, gateways: impl Iterator<Item = u8>, path: &str) {
     for number in gateways {
         let answer = world.request(number, path, path, None).await;
