--- a/crates/gateway/src/feed/copy.rs
+++ b/crates/gateway/src/feed/copy.rs
@@ -32,8 +32,8 @@
 }
 
 impl FeedCopy {
-    /// Creates a copy of `store` that publishes its state in `state` and sends what is
-    /// new to `changes`.
+    /// Creates a copy of `store` that publishes its state in `state` and sends new
+    /// changes to `changes`.
     pub fn new(
         context: &Context,
         store: &Store,
@@ -54,7 +54,7 @@
         self.state.subscribe()
     }
 
-    /// Waits until nobody receives changes any more, which ends the feed.
+    /// Waits until the receiver of the changes is dropped, which ends the feed.
     pub async fn closed(&self) {
         self.changes.closed().await;
     }
@@ -81,16 +81,16 @@
         self.state.borrow().stale_at(&self.times, Instant::now())
     }
 
-    /// Returns until when a newly started node asks only its peers. `None` once it has
-    /// data or has asked them for long enough.
+    /// Returns the time until which a newly started node reads the full state only from
+    /// peers; `None` once the copy has data or that time has passed.
     pub fn peers_first_until(&self) -> Option<Instant> {
-        let asks_peers = !self.has_data() && Instant::now() < self.peers_first_until;
-        asks_peers.then_some(self.peers_first_until)
+        let reads_from_peers = !self.has_data() && Instant::now() < self.peers_first_until;
+        reads_from_peers.then_some(self.peers_first_until)
     }
 
     /// Applies an answer of the store.
     pub async fn apply_read(&self, read: StoreRead) {
-        self.apply(read.update, read.revision, read.asked_at, 0)
+        self.apply(read.update, read.revision, read.sent_at, 0)
             .await;
     }
 
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Applies `update`, which leads to `revision`, is complete as of `complete_at` and
-    /// came `depth` steps from the node that watches the store.
+    /// Applies `update`, which brings the copy to `revision` and contains all changes
+    /// made before `complete_at`. `depth` is the number of feed connections that the
+    /// update has passed through; 0 if the store itself sent it.
     async fn apply(&self, update: Update, revision: Revision, complete_at: Instant, depth: u32) {
         let mut changes = Vec::new();
         let mut confirmed = false;
-        // Only what is new is passed on: two nodes that follow each other while the
-        // store is unreachable from both would otherwise send each other the same
-        // frames without end.
+        // Followers are notified only if the update or its confirmation is new: two
+        // nodes that follow each other while the store is unreachable from both would
+        // otherwise send each other the same frames without end.
         self.state.send_if_modified(|state| {
             changes = apply_update(state, update, revision);
             confirmed = state.confirm(revision, complete_at, depth);
@@ -135,7 +136,7 @@
     }
 
     async fn publish(&self, change: Change) {
-        // Without a receiver the feed ends at its next step.
+        // Fails only without a receiver, in which case the feed ends.
         let _ = self.changes.send(change).await;
     }
 }
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -15,12 +15,13 @@
 use crate::feed::tree::{self, OwnNode, Parent};
 use crate::peers::{SeenPeer, peer_timeout};
 
-/// Time for which a parent is not followed again after its copy became stale.
+/// Time for which a peer is not followed again after this node's copy became stale
+/// while following it.
 const STALE_AVOIDED_FOR: Duration = Duration::from_secs(5);
-/// Time for which a parent is not followed again after its connection failed.
+/// Time for which a peer is not followed again after its connection failed.
 const BROKEN_AVOIDED_FOR: Duration = Duration::from_secs(2);
-/// Time for which another parent must be the right one before this node switches to it,
-/// so that short changes of the membership cause no reconnects.
+/// Time for which the feed tree must name another parent before this node leaves its
+/// present one, so that short changes of the membership cause no reconnects.
 const PARENT_SWITCH_DELAY: Duration = Duration::from_secs(2);
 
 /// Time from a node's first data until it may conclude that it has no parent: by then
@@ -35,15 +36,17 @@
     Follow(Parent),
     /// Follow nobody and watch the store on behalf of the other nodes.
     Watch,
-    /// Follow nobody until the store has answered; its reader asks for what this node
-    /// may have missed.
+    /// Follow nobody for now: either the store reader fetches the changes that this
+    /// node may have missed, or the members that the node has read are not in the list
+    /// of peers yet.
     Wait,
 }
 
-/// Why a peer was abandoned.
+/// Why this node stopped following a peer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// Its copy was no newer than this node's within the time allowed.
+    /// This node's copy became stale while it followed the peer, or the peer sent no
+    /// newer copy within its trial.
     Stale,
     /// It could not be reached, the connection broke, or a frame could not be decoded.
     Broken,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Runs until its future is dropped at the end of the feed.
+    /// Chooses and follows peers until the feed ends and drops this future.
     pub async fn run(mut self) {
         loop {
             let choice = self.choose();
@@ -124,12 +127,12 @@
         let seen_peers = self.seen_peers.borrow();
         self.abandoned
             .retain(|name, _| seen_peers.contains_key(name));
-        let myself = OwnNode::of(&self.context.settings);
+        let own_node = OwnNode::of(&self.context.settings);
         let max_silence = peer_timeout(self.context.dispatch.member_count());
         if self.copy.is_stale() && self.copy.peers_first_until().is_none() {
             let unreachable = *self.unreachable.borrow();
             let peer = unreachable
-                .then(|| self.least_recently_tried_peer(&myself, &seen_peers, max_silence));
+                .then(|| self.least_recently_tried_peer(&own_node, &seen_peers, max_silence));
             return peer.flatten().map_or(Choice::Wait, Choice::Follow);
         }
         let is_avoided = |name: &str| {
@@ -137,7 +140,7 @@
                 .get(name)
                 .is_some_and(AbandonedPeer::is_avoided)
         };
-        match tree::parent(&myself, &seen_peers, max_silence, is_avoided) {
+        match tree::parent(&own_node, &seen_peers, max_silence, is_avoided) {
             Some(parent) => Choice::Follow(parent),
             // If each starting node watched the store until it knows its peers, 985
             // polls at once would fill the store's link for a second.
@@ -155,14 +158,14 @@
 
     fn least_recently_tried_peer(
         &self,
-        myself: &OwnNode,
+        own_node: &OwnNode,
         seen_peers: &HashMap<Arc<str>, SeenPeer>,
         max_silence: Duration,
     ) -> Option<Parent> {
         let is_broken = |peer: &AbandonedPeer| peer.fault == Fault::Broken && peer.is_avoided();
         let is_usable = |name: &str| !self.abandoned.get(name).is_some_and(is_broken);
         let abandoned_at = |name: &str| self.abandoned.get(name).map(|peer| peer.at);
-        tree::least_recently_tried_peer(myself, seen_peers, max_silence, is_usable, abandoned_at)
+        tree::least_recently_tried_peer(own_node, seen_peers, max_silence, is_usable, abandoned_at)
     }
 
     /// Waits until the choice of a parent may have changed.
@@ -170,7 +173,7 @@
         let check_pause = if self.awaits_members() {
             MEMBERS_CHECK_PERIOD
         } else {
-            self.copy.times.poll
+            self.copy.times.poll_wait
         };
         let next_check = Instant::now() + check_pause;
         tokio::select! {
@@ -180,8 +183,8 @@
         }
     }
 
-    /// Follows `parent` until its copy is stale, the connection fails, or another
-    /// parent is right.
+    /// Follows `parent` until this node's copy is stale, the connection fails, or the
+    /// feed tree names another parent; a peer on trial only until the store answers.
     async fn follow(&mut self, parent: Parent) {
         let trial_end = self.trial_end();
         let revision = self.copy.revision();
@@ -219,8 +222,8 @@
         }
     }
 
-    /// Returns until when a peer that is only tried may show a newer copy; `None` for a
-    /// parent on which this node relies.
+    /// Returns the time by which a peer on trial must have sent a newer copy; `None` if
+    /// this node's copy is current, so that the next peer is not on trial.
     fn trial_end(&self) -> Option<Instant> {
         if let Some(until) = self.copy.peers_first_until() {
             return Some(until);
@@ -242,7 +245,7 @@
     }
 
     /// Waits until an answer of the store itself has made this node's copy current;
-    /// then the tree names the parent again.
+    /// from then on the feed tree names the parent again.
     async fn until_store_answers(&self) {
         let store_answered = |state: &FeedState| {
             state.depth() == 0 && !state.is_stale(&self.copy.times, Instant::now())
@@ -258,9 +261,9 @@
         self.abandoned.insert(name, AbandonedPeer { at, fault });
     }
 
-    /// Whether another parent than `followed` has been the right one for
+    /// Whether following `followed` has not been the choice for more than
     /// [`PARENT_SWITCH_DELAY`]. `since` holds when that began; `None` while `followed`
-    /// is right.
+    /// is the choice.
     fn should_switch_parent(&mut self, followed: &str, since: &mut Option<Instant>) -> bool {
         let choice = self.choose();
         if matches!(choice, Choice::Follow(parent) if &*parent.name == followed) {
--- a/crates/gateway/src/feed/frame.rs
+++ b/crates/gateway/src/feed/frame.rs
@@ -28,14 +28,15 @@
     pub revision: Revision,
 }
 
-/// A serialized list of events or items, deflated if that is worthwhile.
+/// A serialized list of events or items, deflated if it has at least
+/// [`MIN_DEFLATED_BYTES`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Packed {
     deflated: bool,
     bytes: Bytes,
 }
 
-/// The content of a frame.
+/// The part of a frame that updates the follower's copy.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Content {
     /// The full state of the store, as a list of [`Item`].
@@ -45,7 +46,7 @@
 }
 
 impl Content {
-    /// Decodes the content.
+    /// Decodes all payloads; fails if one is too large or malformed.
     pub fn decode(&self) -> io::Result<Update> {
         match self {
             Self::Everything(packed) => packed.items().map(Update::Everything),
@@ -66,9 +67,11 @@
     /// Milliseconds since the sender received this follower's [`Hello`], on the
     /// sender's monotonic clock, rounded down.
     pub since_hello_ms: u64,
-    /// Milliseconds for which the sender may have missed changes, rounded up.
+    /// Age of the sender's copy in milliseconds, rounded up: the copy may lack changes
+    /// that were made within this time.
     pub age_ms: u32,
-    /// Steps between the sender and the node that watches the store.
+    /// Number of feed connections between the sender and the node that watches the
+    /// store; 0 if the store itself last answered the sender.
     pub depth: u32,
     /// The revision of the follower's copy once it has applied this frame.
     pub revision: Revision,
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -3,9 +3,10 @@
 //! Nodes form a tree, which each node computes from the peers that it has seen. The
 //! root watches the store; every other node follows its parent over one stream and
 //! passes changes on to its own followers. Each frame carries the age of the sender's
-//! copy, so a node knows at any moment for how long it may have missed a change. Before
-//! that time reaches its limit, the node asks the store itself. A wrong or missing
-//! parent thus costs additional calls to the store but never breaks a bound.
+//! copy, so a node knows at any moment for how long it may have missed a change. When
+//! that time reaches its limit, the node calls the store itself. A wrong or missing
+//! parent thus costs additional calls to the store but does not make a copy older than
+//! the limit.
 
 mod call_schedule;
 mod copy;
--- a/crates/gateway/src/feed/parent_stream.rs
+++ b/crates/gateway/src/feed/parent_stream.rs
@@ -20,7 +20,7 @@
     hello_at: Instant,
 }
 
-/// A received frame with the time as of which its content was complete.
+/// A frame from the parent, with the time as of which its content was complete.
 pub struct ReceivedFrame {
     /// The frame as the parent sent it.
     pub frame: Frame,
--- a/crates/gateway/src/feed/poll.rs
+++ b/crates/gateway/src/feed/poll.rs
@@ -19,14 +19,14 @@
     /// revision of the first page, from which changes are to be followed.
     pub revision: Revision,
     /// When the first call was sent; the update is complete as of this time.
-    pub asked_at: Instant,
+    pub sent_at: Instant,
 }
 
 /// Reads all items, page by page, waiting for each page for at most `answer_timeout`.
 /// Fails with [`StoreError::HistoryLost`] if the store is restored from a backup
 /// between two pages, since these would mix two eras.
 pub async fn read_all(store: &Store, answer_timeout: Duration) -> Result<StoreRead, StoreError> {
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let mut items: BTreeMap<String, Item> = BTreeMap::new();
     let mut after = None;
     let mut first_revision = None;
@@ -42,7 +42,7 @@
             revision,
         } = store.call(&call, answer_timeout).await?
         else {
-            return Err(StoreError::Malformed("no page".to_owned()));
+            return Err(StoreError::Malformed("expected a page of items".to_owned()));
         };
         // The pages are no consistent snapshot: changes made during the read are
         // delivered again as events after the first page's revision.
@@ -56,7 +56,7 @@
             return Ok(StoreRead {
                 update: Update::Everything(items.into_values().collect()),
                 revision: first,
-                asked_at,
+                sent_at,
             });
         }
     }
@@ -75,35 +75,35 @@
     };
     match store.call(&call, answer_timeout).await? {
         StoreAnswer::Page { items, .. } => Ok(items),
-        _ => Err(StoreError::Malformed("no page".to_owned())),
+        _ => Err(StoreError::Malformed("expected a page of items".to_owned())),
     }
 }
 
 /// Polls for changes after `revision`. The store holds the poll for up to `wait`; the
-/// answer may take `answer_timeout` longer. Fails with [`StoreError::HistoryLost`] once
-/// the store is in another era.
+/// answer may take `answer_timeout` longer. Fails with [`StoreError::HistoryLost`] if
+/// the store has entered another era.
 pub async fn read_changes(
     store: &Store,
     revision: Revision,
     wait: Duration,
     answer_timeout: Duration,
 ) -> Result<StoreRead, StoreError> {
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let call = StoreCall::Watch {
         prefix: String::new(),
         after: revision,
         wait,
     };
     match store.call(&call, wait + answer_timeout).await? {
-        // Revision numbers of a later era stand for other changes.
+        // In another era, the same revision numbers denote other changes.
         StoreAnswer::Events { revision: now, .. } if now.era != revision.era => {
             Err(StoreError::HistoryLost)
         }
         StoreAnswer::Events { events, revision } => Ok(StoreRead {
             update: Update::Events(events),
             revision,
-            asked_at,
+            sent_at,
         }),
-        _ => Err(StoreError::Malformed("no events".to_owned())),
+        _ => Err(StoreError::Malformed("expected events".to_owned())),
     }
 }
--- a/crates/gateway/src/feed/serve.rs
+++ b/crates/gateway/src/feed/serve.rs
@@ -11,7 +11,8 @@
 use crate::feed::state::{FeedState, Missing};
 use crate::network::{ByteStream, Listener};
 
-/// Maximum number of followers; others connect to another node or ask the store.
+/// Maximum number of followers; the connections of others are closed, so that they
+/// follow another node or call the store.
 const MAX_FOLLOWERS: usize = 64;
 /// Time limit for a follower to send its hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
@@ -58,14 +59,15 @@
             changed = state.changed() => if changed.is_err() {
                 return Ok(());
             },
-            // Followers send nothing after the hello; whatever is read is the end of
-            // the connection.
+            // Followers send nothing after the hello, so this read completes only when
+            // the connection ends.
             _ = tokio::io::AsyncReadExt::read(&mut stream, &mut byte) => return Ok(()),
         }
     }
 }
 
-/// Milliseconds, rounded up: a copy must not look younger after it was sent on.
+/// Converts the age of a copy to milliseconds, rounded up so that no follower takes the
+/// copy for younger than it is.
 fn milliseconds_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/gateway/src/feed/staleness.rs
+++ b/crates/gateway/src/feed/staleness.rs
@@ -37,8 +37,7 @@
     }
 }
 
-/// Waits until the copy is too old to rely on a parent; returns an error if the feed
-/// ends before.
+/// Waits until the copy is stale; returns an error if the feed ends before.
 async fn until_stale(
     state: &mut watch::Receiver<FeedState>,
     times: &FeedTimes,
--- a/crates/gateway/src/feed/state.rs
+++ b/crates/gateway/src/feed/state.rs
@@ -11,12 +11,12 @@
 use crate::feed::frame::{Packed, pack};
 use crate::feed::times::FeedTimes;
 
-/// Batches of changes kept for followers; a follower that is further behind gets the
-/// full state.
+/// Maximum number of batches of changes kept for followers; a follower that is further
+/// behind gets the full state.
 const KEPT_BATCHES: usize = 64;
-/// Changes kept for followers over all batches: a sixth of what ten thousand runners
-/// need in the full state. For a follower that misses more, the full state costs about
-/// as much.
+/// Maximum number of changes in all batches: they take a sixth of the bytes of the full
+/// state with ten thousand runners. For a follower that misses more, the full state
+/// costs about as much.
 const KEPT_EVENTS: usize = 2048;
 
 /// Maximum number of steps from the node that watches the store. Each step's transfer
@@ -118,7 +118,7 @@
         self.revision
     }
 
-    /// Whether the store has an item under `key`, as far as the copy shows.
+    /// Whether the copy has an item under `key`.
     pub fn has_key(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
@@ -134,8 +134,8 @@
         self.depth
     }
 
-    /// Time for which changes may have been missed; `None` while the copy was never
-    /// confirmed.
+    /// Age of the copy: the time within which it may lack changes. `None` if it was
+    /// never confirmed to be complete.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.complete_at.map(|at| now.saturating_duration_since(at))
     }
@@ -216,9 +216,9 @@
     }
 
     /// Records that the store's state at `revision` was complete as of `at`, as learnt
-    /// over `depth` steps. Returns false and changes nothing unless that is later than
-    /// the last confirmation, the copy has no newer revision, and `depth` is within
-    /// [`MAX_DEPTH`].
+    /// through `depth` feed connections. Returns false and changes nothing unless that
+    /// is later than the last confirmation, the copy has no newer revision, and `depth`
+    /// is within [`MAX_DEPTH`].
     pub fn confirm(&mut self, revision: Revision, at: Instant, depth: u32) -> bool {
         let is_older = self.complete_at.is_some_and(|known| known >= at);
         if revision < self.revision || is_older || depth > MAX_DEPTH {
--- a/crates/gateway/src/feed/store_reader.rs
+++ b/crates/gateway/src/feed/store_reader.rs
@@ -29,7 +29,7 @@
 /// A call to the store that is in progress.
 type Call = Pin<Box<dyn Future<Output = EndedCall> + Send>>;
 
-/// The result of a call to the store.
+/// A call to the store that has ended, with the answer or the failure.
 struct EndedCall {
     answer: Result<StoreRead, StoreError>,
     /// Whether the call ended because its time limit was reached.
@@ -49,6 +49,7 @@
     unreachable: watch::Sender<bool>,
     schedule: CallSchedule,
     open_calls: FuturesUnordered<Call>,
+    /// Earliest time at which the next call may be sent.
     not_before: Instant,
     /// When the oldest call since the store's last answer was sent; `None` if none was.
     unanswered_since: Option<Instant>,
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Runs until its future is dropped at the end of the feed.
+    /// Calls the store as needed until the feed ends and drops this future.
     pub async fn run(mut self) {
         loop {
             self.cancel_unneeded_calls();
             let next_call_at = self.next_call_at();
             let unreachable_at = self.unreachable_at();
             tokio::select! {
-                Some(ended) = self.open_calls.next() => self.handle_end(ended).await,
+                Some(ended) = self.open_calls.next() => self.handle_ended_call(ended).await,
                 () = sleep_until(next_call_at) => self.send_call_if_due(),
                 () = sleep_until_some(unreachable_at) => {
                     self.unreachable.send_replace(true);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Drops the open calls and resets what was learnt from them: timeouts, lost
-    /// history and unreachability.
+    /// Drops the open calls and resets the state that depends on earlier calls:
+    /// timeouts, lost history and unreachability.
     fn reset(&mut self) {
         self.open_calls.clear();
         self.schedule.reset();
@@ -163,7 +164,8 @@
 
     fn send_call_if_due(&mut self) {
         let now = Instant::now();
-        // An answer may have begun to arrive since this call was scheduled.
+        // The next call is put off while an answer keeps arriving, which may have begun
+        // after this call was scheduled.
         if !self.is_needed() || now < self.next_call_at() {
             return;
         }
@@ -188,31 +190,31 @@
         let wait = if stale {
             Duration::ZERO
         } else {
-            self.copy.times.poll
+            self.copy.times.poll_wait
         };
         self.poll(wait, timeout)
     }
 
     fn full_read(&self, timeout: Duration) -> Call {
         let store = self.store.clone();
-        let time_limit = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         Box::pin(async move {
             let answer = read_all(&store, timeout).await;
-            EndedCall::at(time_limit, answer)
+            EndedCall::ended_now(deadline, answer)
         })
     }
 
     fn poll(&self, wait: Duration, timeout: Duration) -> Call {
         let store = self.store.clone();
         let revision = self.copy.revision();
-        let time_limit = Instant::now() + wait + timeout;
+        let deadline = Instant::now() + wait + timeout;
         Box::pin(async move {
             let answer = read_changes(&store, revision, wait, timeout).await;
-            EndedCall::at(time_limit, answer)
+            EndedCall::ended_now(deadline, answer)
         })
     }
 
-    async fn handle_end(&mut self, ended: EndedCall) {
+    async fn handle_ended_call(&mut self, ended: EndedCall) {
         match ended.answer {
             Ok(read) => self.apply_read(read).await,
             Err(StoreError::HistoryLost) => {
@@ -239,7 +241,7 @@
                 tracing::info!(event = "store_read", era, revision = number);
                 PARENT_CHOICE_TIME
             }
-            // Waits so that the next changes come in a batch.
+            // Delays the next poll, so that it returns the next changes as a batch.
             Update::Events(events) if !events.is_empty() => self.copy.times.batch_pause,
             Update::Events(_) => Duration::ZERO,
         };
@@ -249,11 +251,12 @@
 }
 
 impl EndedCall {
-    /// The result of a call that ends now and could last until `time_limit`.
-    fn at(time_limit: Instant, answer: Result<StoreRead, StoreError>) -> Self {
+    /// Creates the result of a call that ends now; it timed out if `deadline` has
+    /// passed.
+    fn ended_now(deadline: Instant, answer: Result<StoreRead, StoreError>) -> Self {
         Self {
             answer,
-            timed_out: Instant::now() >= time_limit,
+            timed_out: Instant::now() >= deadline,
         }
     }
 }
--- a/crates/gateway/src/feed/task.rs
+++ b/crates/gateway/src/feed/task.rs
@@ -20,7 +20,7 @@
 
 /// Time limit for reading the members' entries at the start.
 const MEMBERS_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time limit for these entries to reach the list of peers.
+/// Time limit for the members' entries to reach the list of peers.
 const MEMBERS_APPLY_TIME: Duration = Duration::from_millis(20);
 
 /// Keeps this node's copy of the store current.
@@ -32,9 +32,9 @@
 }
 
 impl FeedTask {
-    /// Creates a task that keeps `state` current and sends what is new to `changes`.
-    /// `store` must be used by nothing else; `seen_peers` is the list of peers to
-    /// follow.
+    /// Creates a task that keeps `state` current and sends new changes to `changes`.
+    /// `store` must be used by nothing else, so that [`Store::last_answer_at`] covers
+    /// the feed's calls only; `seen_peers` is the list of peers to follow.
     pub fn new(
         context: Context,
         store: Store,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Runs until nobody receives changes any more.
+    /// Runs until the receiver of the changes is dropped.
     pub async fn run(mut self) {
         self.load_members().await;
         let copy = &self.copy;
--- a/crates/gateway/src/feed/times.rs
+++ b/crates/gateway/src/feed/times.rs
@@ -4,64 +4,75 @@
 
 use barleyspar_catalog::Bounds;
 
-/// Fractions of the shortest bound within which a change must take effect.
+/// Time for which the store holds a poll, as a fraction of the site's shortest bound on
+/// applying a change.
 const POLL_FRACTION: f64 = 0.2;
+/// Pause after a poll that returned changes, as a fraction of the shortest bound.
 const BATCH_FRACTION: f64 = 0.1;
+/// Maximum age of the watching node's copy, as a fraction of the shortest bound.
 const AGE_FRACTION: f64 = 0.55;
+/// Growth of the maximum age with each step from the watching node, as a fraction of the
+/// shortest bound.
 const STEP_FRACTION: f64 = 0.05;
-/// After an unresponsive store is back, it is called within this fraction of the bound,
-/// which leaves as much for its answer and for sending it to followers.
+/// Time between two calls to an unresponsive store, as a fraction of the shortest
+/// bound. Once the store is back, it is called within this time, which leaves as much
+/// for its answer and for sending it to followers.
 const CALL_FRACTION: f64 = 0.5;
-/// Most answers take a few milliseconds, those of a slow store a tenth of the shortest
-/// bound.
+/// Time after which a store that does not answer counts as unreachable, as a fraction
+/// of the shortest bound. Most answers take a few milliseconds, those of a slow store a
+/// tenth of the bound.
 const UNREACHABLE_FRACTION: f64 = 0.15;
-/// A peer with a newer copy shows it in its first frame, milliseconds after the hello;
-/// with this fraction one such peer out of eight is found within two bounds.
+/// Time for which a peer is tried, as a fraction of the shortest bound. A peer with a
+/// newer copy sends it in its first frame, milliseconds after the hello; with this
+/// fraction one such peer out of eight is found within two bounds.
 const TRIAL_FRACTION: f64 = 0.25;
-/// Maximum depth for which [`FeedTimes::max_age`] grows; trees with more nodes than fit
-/// in this depth are not planned for.
+/// Maximum depth for which [`FeedTimes::max_age`] grows; deployments with more nodes
+/// than fit in a tree of this depth are not planned for.
 const MAX_COUNTED_DEPTH: u32 = 4;
 
 /// Time limits of the feed at one site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FeedTimes {
-    /// Maximum time for which the store holds a poll. The copy is up to twice as old
-    /// before the next poll's answer.
-    pub poll: Duration,
+    /// Maximum time for which the store holds a poll. The copy's age reaches up to
+    /// twice this time before the next poll is answered.
+    pub poll_wait: Duration,
     /// Pause after a poll that returned changes, so that the next ones come in batches.
     pub batch_pause: Duration,
     /// Time between calls while the store does not answer.
     pub call_period: Duration,
-    /// Time without an answer of the store after which it counts as unreachable and
-    /// peers are asked too.
+    /// Time without an answer of the store after which it counts as unreachable, and
+    /// this node tries peers too.
     pub unreachable_after: Duration,
-    /// Time for a peer to show a newer copy while the store is unreachable from this
-    /// node.
+    /// Time within which a peer on trial must send a newer copy while the store is
+    /// unreachable from this node.
     pub peer_trial: Duration,
-    age: Duration,
-    step: Duration,
+    /// Maximum age of the copy of the node that watches the store.
+    base_age: Duration,
+    /// Growth of the maximum age with each step from that node.
+    age_per_step: Duration,
 }
 
 impl FeedTimes {
-    /// Derives the times from the shortest of the site's bounds on taking over changes.
+    /// Derives the times from the shortest of the site's bounds on applying changes.
     pub fn new(bounds: &Bounds) -> Self {
         let bound = bounds.configuration_apply_time.min(bounds.drain_timeout);
         let bound = bounds.evacuation_time.map_or(bound, |time| bound.min(time));
         Self {
-            poll: bound.mul_f64(POLL_FRACTION),
+            poll_wait: bound.mul_f64(POLL_FRACTION),
             batch_pause: bound.mul_f64(BATCH_FRACTION),
             call_period: bound.mul_f64(CALL_FRACTION),
             unreachable_after: bound.mul_f64(UNREACHABLE_FRACTION),
             peer_trial: bound.mul_f64(TRIAL_FRACTION),
-            age: bound.mul_f64(AGE_FRACTION),
-            step: bound.mul_f64(STEP_FRACTION),
+            base_age: bound.mul_f64(AGE_FRACTION),
+            age_per_step: bound.mul_f64(STEP_FRACTION),
         }
     }
 
-    /// Maximum age of the copy of a node that is `depth` steps from the store's
-    /// watcher; from then on the node calls the store itself. It grows with the depth,
-    /// so that nearer nodes call first and the others receive the answer from them.
+    /// Maximum age of the copy of a node that is `depth` steps from the node that
+    /// watches the store; a node with an older copy calls the store itself. It grows
+    /// with the depth, so that nearer nodes call first and the others receive the
+    /// answer from them.
     pub fn max_age(&self, depth: u32) -> Duration {
-        self.age + self.step * depth.min(MAX_COUNTED_DEPTH)
+        self.base_age + self.age_per_step * depth.min(MAX_COUNTED_DEPTH)
     }
 }
--- a/crates/gateway/src/feed/tree.rs
+++ b/crates/gateway/src/feed/tree.rs
@@ -21,7 +21,7 @@
 /// smallest machine.
 pub const FANOUT: usize = 12;
 
-/// A node to follow.
+/// A peer that accepts this node as a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parent {
     /// The parent's name.
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
 }
 
-/// This node's attributes that determine its place in the order.
+/// This node's attributes that determine its position in the order of all nodes.
 #[derive(Debug, Clone)]
 pub struct OwnNode {
     /// This node's name.
@@ -64,43 +64,43 @@
 
 /// Returns the peers seen within `max_silence` that precede this node in the order,
 /// without those that `is_avoided` rejects.
-fn peers_before<'a>(
-    myself: &OwnNode,
+fn preceding_peers<'a>(
+    own_node: &OwnNode,
     peers: &'a HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_avoided: impl Fn(&str) -> bool,
 ) -> Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)> {
-    let own = order_key(&myself.name, myself.capacity);
+    let own_key = order_key(&own_node.name, own_node.capacity);
     peers
         .iter()
         .filter(|(name, peer)| peer.last_seen.elapsed() < max_silence && !is_avoided(name))
         .map(|(name, peer)| (order_key(name, peer.capacity), name, peer))
-        .filter(|(peer, _, _)| *peer < own)
+        .filter(|(peer, _, _)| *peer < own_key)
         .collect()
 }
 
 /// Returns how many of the peers seen within `max_silence` precede this node. Machines
 /// with a faster link, which usually have more of the other resources too, come first.
 pub fn count_preceding_peers(
-    myself: &OwnNode,
+    own_node: &OwnNode,
     peers: &HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
 ) -> usize {
-    peers_before(myself, peers, max_silence, |_| false).len()
+    preceding_peers(own_node, peers, max_silence, |_| false).len()
 }
 
 /// Returns the peer to follow, or `None` if this node is to watch the store. Ignores
 /// peers not seen for `max_silence` and those that `is_avoided` rejects.
 pub fn parent(
-    myself: &OwnNode,
+    own_node: &OwnNode,
     peers: &HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_avoided: impl Fn(&str) -> bool,
 ) -> Option<Parent> {
-    let before = peers_before(myself, peers, max_silence, is_avoided);
-    let (near, far): (Vec<_>, Vec<_>) = before
+    let preceding = preceding_peers(own_node, peers, max_silence, is_avoided);
+    let (near, far): (Vec<_>, Vec<_>) = preceding
         .into_iter()
-        .partition(|(_, _, peer)| peer.zone == myself.zone);
+        .partition(|(_, _, peer)| peer.zone == own_node.zone);
     let mut candidates = if near.is_empty() {
         first_of_each_zone(far)
     } else {
@@ -129,12 +129,12 @@
 }
 
 /// Returns a peer to follow for a node that cannot reach the store: of the peers seen
-/// within `max_silence` that `is_usable` accepts, the one that was abandoned the
-/// longest time ago (`abandoned_at`), or never. So each peer is tried in turn. Each
-/// node uses an order of its own, so that they do not all try the same peer, which
-/// accepts at most 64 followers.
+/// within `max_silence` that `is_usable` accepts, the one that was never abandoned or
+/// was abandoned (`abandoned_at`) the longest time ago, so that each peer is tried in
+/// turn. Each node uses an order of its own, so that they do not all try the same peer,
+/// which accepts at most 64 followers.
 pub fn least_recently_tried_peer(
-    myself: &OwnNode,
+    own_node: &OwnNode,
     peers: &HashMap<Arc<str>, SeenPeer>,
     max_silence: Duration,
     is_usable: impl Fn(&str) -> bool,
@@ -146,7 +146,7 @@
         .min_by_key(|(name, _)| {
             (
                 abandoned_at(name),
-                barleyspar_domain::rendezvous_weight(&myself.name, name),
+                barleyspar_domain::rendezvous_weight(&own_node.name, name),
             )
         })
         .map(|(name, peer)| Parent {
--- a/crates/gateway/src/feed/tree_tests.rs
+++ b/crates/gateway/src/feed/tree_tests.rs
@@ -41,7 +41,7 @@
         .collect()
 }
 
-fn myself(number: u8) -> OwnNode {
+fn own_node(number: u8) -> OwnNode {
     OwnNode {
         name: name(number),
         capacity: capacity(number),
@@ -52,7 +52,7 @@
 fn parent_of(number: u8, nodes: u8, avoided: &[Arc<str>]) -> Option<Arc<str>> {
     let avoided = |name: &str| avoided.iter().any(|avoided| &**avoided == name);
     parent(
-        &myself(number),
+        &own_node(number),
         &seen_peers(nodes, number),
         MAX_SILENCE,
         avoided,
@@ -105,14 +105,14 @@
 #[tokio::test(start_paused = true)]
 async fn an_unresponsive_peer_is_no_parent() {
     let peers = seen_peers(2, 1);
-    let myself = OwnNode {
+    let own_node = OwnNode {
         name: name(1),
         capacity: 1,
         zone: zone(1),
     };
-    assert!(parent(&myself, &peers, MAX_SILENCE, |_| false).is_some());
+    assert!(parent(&own_node, &peers, MAX_SILENCE, |_| false).is_some());
     tokio::time::advance(MAX_SILENCE * 2).await;
-    assert!(parent(&myself, &peers, MAX_SILENCE, |_| false).is_none());
+    assert!(parent(&own_node, &peers, MAX_SILENCE, |_| false).is_none());
 }
 
 #[tokio::test(start_paused = true)]
@@ -139,9 +139,14 @@
     let mut tried = Vec::new();
     for _ in 1..NODES {
         let abandoned_at = |name: &str| abandoned.get(name).copied();
-        let next =
-            least_recently_tried_peer(&myself(7), &seen_peers, MAX_SILENCE, |_| true, abandoned_at)
-                .unwrap();
+        let next = least_recently_tried_peer(
+            &own_node(7),
+            &seen_peers,
+            MAX_SILENCE,
+            |_| true,
+            abandoned_at,
+        )
+        .unwrap();
         tokio::time::advance(Duration::from_millis(1)).await;
         abandoned.insert(next.name.clone(), Instant::now());
         tried.push(next.name);
@@ -158,7 +163,7 @@
     for number in 0..NODES {
         let seen_peers = seen_peers(NODES, number);
         let first = least_recently_tried_peer(
-            &myself(number),
+            &own_node(number),
             &seen_peers,
             MAX_SILENCE,
             |_| true,
@@ -176,7 +181,7 @@
     let seen_peers = seen_peers(5, 0);
     tokio::time::advance(MAX_SILENCE).await;
     assert_eq!(
-        least_recently_tried_peer(&myself(0), &seen_peers, MAX_SILENCE, |_| true, |_| None),
+        least_recently_tried_peer(&own_node(0), &seen_peers, MAX_SILENCE, |_| true, |_| None),
         None
     );
 }
