--- a/crates/gateway/src/peers/members.rs
+++ b/crates/gateway/src/peers/members.rs
@@ -55,7 +55,7 @@
     rendezvous_weight("node", name) as NodeKey
 }
 
-/// A member as this node knows it.
+/// What this node knows of another member.
 #[derive(Debug, Clone)]
 pub struct Member {
     /// The member's own statement of its address, link and zone.
@@ -142,18 +142,18 @@
         });
     }
 
-    /// Number of changes to the members. Whatever is computed from the members stays
-    /// valid while this number is the same.
+    /// Number of changes to the members. A value computed from the members is valid
+    /// while this number stays the same.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Names of the other nodes.
+    /// Names of all members, which are the nodes other than this one.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.members.keys()
     }
 
-    /// Number of other nodes.
+    /// Number of members; this node is not counted.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -163,12 +163,12 @@
         self.members.len() + 1 > MESH_NODES
     }
 
-    /// Returns the member with this name.
+    /// Returns the member with this name; `None` also for this node.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Returns the name and the member for this key.
+    /// Returns the member whose [`node_key`] is `key`, with its name.
     pub fn by_key(&self, key: NodeKey) -> Option<(&Arc<str>, &Member)> {
         let name = self.by_key.get(&key)?;
         self.members.get_key_value(name)
@@ -216,8 +216,9 @@
     }
 
     /// Returns the relay to which the node `own` sends its load, without those that
-    /// `is_avoided` rejects. Relays of its own zone are preferred, and the choice stays
-    /// the same while that relay is a member.
+    /// `is_avoided` rejects. Relays of its own zone are preferred. Rendezvous hashing
+    /// spreads the nodes over the relays and keeps a node's choice in most cases when
+    /// another relay comes or goes.
     pub fn choose_relay(
         &mut self,
         own: (&Arc<str>, &MemberRecord),
@@ -227,10 +228,14 @@
         let relays = self.relays(own);
         let relays: Vec<Arc<str>> = relays.iter().filter(is_usable).cloned().collect();
         let zone_of = |name: &Arc<str>| self.members.get(name).map(|member| &*member.record.zone);
-        let (near, far): (Vec<Arc<str>>, Vec<Arc<str>>) = relays
+        let (same_zone, other_zones): (Vec<Arc<str>>, Vec<Arc<str>>) = relays
             .into_iter()
             .partition(|name| zone_of(name) == Some(&*own.1.zone));
-        let candidates = if near.is_empty() { far } else { near };
+        let candidates = if same_zone.is_empty() {
+            other_zones
+        } else {
+            same_zone
+        };
         by_rendezvous_weight(own.0, candidates).into_iter().next()
     }
 }
--- a/crates/gateway/src/peers/members_tests.rs
+++ b/crates/gateway/src/peers/members_tests.rs
@@ -111,19 +111,19 @@
 async fn the_next_call_for_relays_follows_a_removed_or_added_member() {
     let own = 0;
     let mut members = members(own, NODES);
-    let myself = (name(own), record(own));
-    let before = members.relays((&myself.0, &myself.1));
+    let own_node = (name(own), record(own));
+    let before = members.relays((&own_node.0, &own_node.1));
     let gone = before
         .iter()
-        .find(|relay| **relay != myself.0)
+        .find(|relay| **relay != own_node.0)
         .unwrap()
         .clone();
     let number = (0..NODES).find(|number| name(*number) == gone).unwrap();
     members.mark_removed(&gone);
     tokio::time::advance(MEMBER_TIMEOUT * 2).await;
     members.drop_unresponsive();
-    let without = members.relays((&myself.0, &myself.1));
+    let without = members.relays((&own_node.0, &own_node.1));
     assert!(!without.contains(&gone));
     members.record_seen(gone.clone(), record(number), true);
-    assert_eq!(members.relays((&myself.0, &myself.1)), before);
+    assert_eq!(members.relays((&own_node.0, &own_node.1)), before);
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,8 +1,9 @@
 //! Messages between nodes: load, demand, and the models loaded on runners.
 //!
-//! Messages are datagrams that are repeated; each supersedes the previous one, so
-//! losing some does no harm. Few nodes send to all others; many send to a relay
-//! ([`members`]), which sends the sum over all nodes back ([`relay`]).
+//! Messages are datagrams. Load and demand are sent periodically, and each message
+//! supersedes the previous one, so losing some does no harm. Few nodes send to all
+//! others; many send to a relay ([`members`]), which sends the sum over all nodes back
+//! ([`relay`]).
 
 mod members;
 mod relay;
@@ -37,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub struct PeerHandle {
     commands: mpsc::UnboundedSender<Command>,
-    heard: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
+    seen_peers: watch::Receiver<HashMap<Arc<str>, SeenPeer>>,
 }
 
 impl PeerHandle {
@@ -63,14 +64,14 @@
         self.send(Command::RetainMembers(members));
     }
 
-    /// Returns the list of peers with the time at which each was last seen, and its
-    /// changes.
+    /// Returns a receiver of the peers, by name, with the time at which each was last
+    /// seen.
     pub fn seen_peers(&self) -> watch::Receiver<HashMap<Arc<str>, SeenPeer>> {
-        self.heard.clone()
+        self.seen_peers.clone()
     }
 
-    /// Sends what is loaded on these runners to all nodes, through relays if there are
-    /// any.
+    /// Sends the inventories to all other nodes, through relays if messages go through
+    /// them.
     pub fn publish_inventories(&self, inventories: Vec<Inventory>) {
         self.send(Command::PublishInventories(inventories));
     }
@@ -107,10 +108,13 @@
 /// Creates the handle; [`PeerTask::new`] takes the other end.
 pub fn channel() -> (PeerHandle, PeerInbox) {
     let (commands, inbox) = mpsc::unbounded_channel();
-    let (seen_sender, heard) = watch::channel(HashMap::new());
+    let (seen_peers_sender, seen_peers) = watch::channel(HashMap::new());
     (
-        PeerHandle { commands, heard },
-        PeerInbox(inbox, seen_sender),
+        PeerHandle {
+            commands,
+            seen_peers,
+        },
+        PeerInbox(inbox, seen_peers_sender),
     )
 }
 
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -12,15 +12,15 @@
 use crate::peers::members::{NodeKey, node_key};
 
 /// Time between two messages of a node to its relay, of a relay to the others, and of a
-/// relay to its nodes. What a node knows of the others' load is older than the load
-/// itself by at most three of these. A stream lasts for one to two seconds on the
-/// users' deployments.
+/// relay to its nodes. A node's view of the others' load is late by at most three of
+/// these intervals, which is less than a stream lasts on known deployments (one to two
+/// seconds).
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after the last message of a node, or of another relay, from which on a relay
-/// leaves its load out: four messages.
+/// Time without a message of a node, or of another relay, after which a relay leaves
+/// its load out of the sums: four intervals.
 pub const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time without a message from a relay after which its nodes choose another one: three
-/// messages.
+/// intervals.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// The time at which a node was last seen, as its relay passes it on.
@@ -37,19 +37,19 @@
 pub struct LoadSum {
     /// Number of attempts in flight, by runner.
     pub in_flight: Vec<(RunnerKey, u32)>,
-    /// The nodes included in the sum; empty in most messages to save bytes.
+    /// The nodes included in the sum; empty in some messages to save bytes.
     pub nodes: Vec<NodeSeen>,
 }
 
 #[derive(Debug)]
 struct NodeLoad {
-    at: Instant,
+    received_at: Instant,
     in_flight: Vec<(RunnerKey, u32)>,
 }
 
 #[derive(Debug)]
 struct RelayLoad {
-    at: Instant,
+    received_at: Instant,
     sum: LoadSum,
 }
 
@@ -68,38 +68,52 @@
         in_flight: Vec<(RunnerKey, u32)>,
         now: Instant,
     ) {
-        let load = NodeLoad { at: now, in_flight };
+        let load = NodeLoad {
+            received_at: now,
+            in_flight,
+        };
         self.nodes.insert(node, load);
     }
 
     /// Stores the sum of another relay; it replaces that relay's previous one.
     pub fn set_relay_sum(&mut self, relay: Arc<str>, sum: LoadSum, now: Instant) {
-        self.relays.insert(relay, RelayLoad { at: now, sum });
+        self.relays.insert(
+            relay,
+            RelayLoad {
+                received_at: now,
+                sum,
+            },
+        );
     }
 
     /// Drops nodes and relays whose last message is older than [`LOAD_TIMEOUT`].
     pub fn drop_unresponsive(&mut self, now: Instant) {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < LOAD_TIMEOUT;
-        self.nodes.retain(|_, load| is_recent(load.at));
-        self.relays.retain(|_, relay_load| is_recent(relay_load.at));
+        let is_recent =
+            |received_at: Instant| now.saturating_duration_since(received_at) < LOAD_TIMEOUT;
+        self.nodes.retain(|_, load| is_recent(load.received_at));
+        self.relays
+            .retain(|_, relay_load| is_recent(relay_load.received_at));
     }
 
-    /// Nodes that this relay serves.
+    /// Names of the nodes that this relay serves: those whose load it received within
+    /// [`LOAD_TIMEOUT`].
     pub fn nodes(&self) -> impl Iterator<Item = &Arc<str>> {
         self.nodes.keys()
     }
 
-    /// Other relays whose sums were received within [`LOAD_TIMEOUT`].
+    /// Names of the other relays whose sums this relay received within
+    /// [`LOAD_TIMEOUT`].
     pub fn relays(&self) -> impl Iterator<Item = &Arc<str>> {
         self.relays.keys()
     }
 
-    /// Returns the sum over the nodes that this relay serves.
+    /// Returns the load of the nodes that this relay serves, to be sent to the other
+    /// relays.
     pub fn own_sum(&self, now: Instant) -> LoadSum {
         let loads = self.nodes.values().map(|load| &load.in_flight);
         let nodes = self.nodes.iter().map(|(name, load)| NodeSeen {
             node: node_key(name),
-            age_ms: milliseconds_or_max(now.saturating_duration_since(load.at)),
+            age_ms: milliseconds_or_max(now.saturating_duration_since(load.received_at)),
         });
         LoadSum {
             in_flight: sum_loads(loads),
@@ -107,7 +121,8 @@
         }
     }
 
-    /// Returns the sum over all nodes of all relays.
+    /// Returns the load of the nodes of all relays, to be sent to the nodes that this
+    /// relay serves.
     pub fn fleet_sum(&self, now: Instant) -> LoadSum {
         let own = self.own_sum(now);
         let others = self
@@ -116,10 +131,11 @@
             .map(|relay_load| &relay_load.sum.in_flight);
         let mut nodes = own.nodes;
         for relay_load in self.relays.values() {
-            let since = milliseconds_or_max(now.saturating_duration_since(relay_load.at));
+            let sum_age_ms =
+                milliseconds_or_max(now.saturating_duration_since(relay_load.received_at));
             nodes.extend(relay_load.sum.nodes.iter().map(|node| NodeSeen {
                 node: node.node,
-                age_ms: node.age_ms.saturating_add(since),
+                age_ms: node.age_ms.saturating_add(sum_age_ms),
             }));
         }
         LoadSum {
--- a/crates/gateway/src/peers/relaying.rs
+++ b/crates/gateway/src/peers/relaying.rs
@@ -22,7 +22,8 @@
 const FLEET_VALID_FOR: Duration = RELAY_INTERVAL.saturating_mul(2 * VALID_INTERVALS);
 
 impl PeerTask {
-    pub(super) fn receive_sum(&mut self, relay: Arc<str>, sum: LoadSum) {
+    /// As a relay: stores the sum of another relay, for the fleet's load.
+    pub(super) fn receive_relay_sum(&mut self, relay: Arc<str>, sum: LoadSum) {
         let now = Instant::now();
         let seen = self.seen_nodes(&sum, now);
         self.record_messages(seen);
@@ -30,7 +31,8 @@
         self.relay.set_relay_sum(relay, sum, now);
     }
 
-    pub(super) fn receive_fleet(&mut self, relay: &Arc<str>, sum: LoadSum) {
+    /// Applies the fleet's load from `relay`; ignores it unless it is this node's relay.
+    pub(super) fn receive_fleet_load(&mut self, relay: &Arc<str>, sum: LoadSum) {
         let now = Instant::now();
         let Some(chosen) = self
             .chosen_relay
@@ -55,13 +57,14 @@
             .set_peer_load(FLEET.into(), others, FLEET_VALID_FOR);
     }
 
-    /// Returns when the nodes included in `sum` were last seen.
+    /// Returns the members included in `sum`, with the time at which each was last
+    /// seen.
     pub(super) fn seen_nodes(&self, sum: &LoadSum, now: Instant) -> Vec<(Arc<str>, Instant)> {
-        let at = |age_ms: u16| now.checked_sub(Duration::from_millis(age_ms.into()));
-        let known = |node: NodeKey| Some(self.members.by_key(node)?.0.clone());
+        let seen_at = |age_ms: u16| now.checked_sub(Duration::from_millis(age_ms.into()));
+        let name_of = |node: NodeKey| Some(self.members.by_key(node)?.0.clone());
         sum.nodes
             .iter()
-            .filter_map(|node| Some((known(node.node)?, at(node.age_ms)?)))
+            .filter_map(|node| Some((name_of(node.node)?, seen_at(node.age_ms)?)))
             .collect()
     }
 
@@ -81,7 +84,7 @@
             let until = now + RELAY_AVOIDED_FOR;
             self.avoided_relays.insert(chosen.name.clone(), until);
         }
-        let own = (&self.context.settings.name, &self.own);
+        let own = (&self.context.settings.name, &self.own_record);
         let is_avoided = |name: &str| self.avoided_relays.contains_key(name);
         let Some(name) = self.members.choose_relay(own, is_avoided) else {
             return;
@@ -146,14 +149,14 @@
         self.send_to(&message, nodes.iter()).await;
     }
 
-    /// Sends what is loaded on these runners to all nodes, through relays if there are
-    /// any.
+    /// Sends the inventories to all other nodes, through relays if messages go through
+    /// them.
     pub(super) async fn publish_inventories(&mut self, inventories: Vec<Inventory>) {
         if !self.members.is_relayed() {
             let others: Vec<Arc<str>> = self.members.names().cloned().collect();
             return self.send_inventories(inventories, true, &others).await;
         }
-        let own = (&self.context.settings.name, &self.own);
+        let own = (&self.context.settings.name, &self.own_record);
         let relays: BTreeSet<Arc<str>> = self
             .members
             .relays(own)
@@ -167,12 +170,14 @@
         self.forward_inventories(inventories).await;
     }
 
-    /// As a relay: sends what is loaded on these runners to this relay's nodes.
+    /// As a relay: sends the inventories to this relay's nodes.
     pub(super) async fn forward_inventories(&mut self, inventories: Vec<Inventory>) {
         let nodes: Vec<Arc<str>> = self.relay.nodes().cloned().collect();
         self.send_inventories(inventories, true, &nodes).await;
     }
 
+    /// Sends the inventories to the nodes `to`; `passed_on` tells them not to forward
+    /// the message.
     pub(super) async fn send_inventories(
         &self,
         inventories: Vec<Inventory>,
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -39,7 +39,7 @@
 pub struct PeerTask {
     pub(super) context: Context,
     socket: Box<dyn Datagrams>,
-    pub(super) own: MemberRecord,
+    pub(super) own_record: MemberRecord,
     pub(super) members: Members,
     /// The members' change count at which the dispatcher and the metrics were last
     /// updated; `None` before the first time.
@@ -47,20 +47,21 @@
     pub(super) relay: RelayState,
     pub(super) chosen_relay: Option<ChosenRelay>,
     pub(super) avoided_relays: BTreeMap<Arc<str>, Instant>,
-    /// This node's load as its relay last received it, which the fleet's load therefore
-    /// includes.
+    /// This node's load as it was last sent to its relay. The fleet's load from the
+    /// relay includes it.
     pub(super) sent_load: Vec<(RunnerKey, u32)>,
-    /// Messages that this relay has sent to its nodes so far; wraps around.
+    /// Number of times that this node, as a relay, sent the fleet's load to its nodes;
+    /// wraps around.
     pub(super) rounds: u32,
-    /// Messages with updates that this node has sent so far; selects which quarantined
-    /// requests the next one names.
+    /// Number of times that this node sent updates; selects which quarantined requests
+    /// the next message names. Wraps around.
     update_round: usize,
     quarantine: watch::Receiver<Quarantine>,
     leader: watch::Receiver<Option<LeaderRecord>>,
     placement: PlacementHandle,
     urgent: Arc<Notify>,
     commands: mpsc::UnboundedReceiver<Command>,
-    heard: watch::Sender<HashMap<Arc<str>, SeenPeer>>,
+    seen_peers: watch::Sender<HashMap<Arc<str>, SeenPeer>>,
 }
 
 impl PeerTask {
@@ -76,7 +77,7 @@
         urgent: Arc<Notify>,
     ) -> Self {
         Self {
-            own: MemberRecord::of(&context.settings),
+            own_record: MemberRecord::of(&context.settings),
             quarantine: context.crashes.watch_quarantine(),
             context,
             socket,
@@ -92,7 +93,7 @@
             placement,
             urgent,
             commands: inbox.0,
-            heard: inbox.1,
+            seen_peers: inbox.1,
         }
     }
 
@@ -120,8 +121,8 @@
                 () = urgent.notified() => demand_due = true,
                 // A new leader has received no demand yet.
                 Ok(()) = leader.changed() => demand_due = true,
-                // A request that crashes runners is repeated through another node
-                // within a moment.
+                // Clients soon repeat a request that crashes runners, through other
+                // nodes too.
                 Ok(()) = quarantine.changed() => {
                     next_load = next_load.min(Instant::now() + QUARANTINE_DELAY);
                 }
@@ -131,7 +132,7 @@
                 }
                 () = tokio::time::sleep_until(next_demand) => {
                     self.send_demand().await;
-                    next_demand = Instant::now() + demand_interval(self.nodes());
+                    next_demand = Instant::now() + demand_interval(self.node_count());
                 }
                 () = tokio::time::sleep_until(next_urgent), if demand_due => {
                     demand_due = false;
@@ -142,7 +143,7 @@
         }
     }
 
-    fn nodes(&self) -> u32 {
+    fn node_count(&self) -> u32 {
         self.members.len() as u32 + 1
     }
 
@@ -167,11 +168,11 @@
             }
             Some(Message::RelaySum { relay, sum, news }) => {
                 self.apply_updates(news);
-                self.receive_sum(relay, sum);
+                self.receive_relay_sum(relay, sum);
             }
             Some(Message::Fleet { relay, sum, news }) => {
                 self.apply_updates(news);
-                self.receive_fleet(&relay, sum);
+                self.receive_fleet_load(&relay, sum);
             }
             Some(Message::Demand {
                 node,
@@ -211,13 +212,13 @@
     fn next_updates(
         &mut self,
         limits: Vec<LimitUpdate>,
-        leaving: Vec<DrainingUpdate>,
+        draining: Vec<DrainingUpdate>,
     ) -> ClusterUpdates {
         self.update_round = self.update_round.wrapping_add(1);
         let now = Instant::now().into_std();
         ClusterUpdates {
             limits,
-            draining: leaving,
+            draining,
             quarantined: self
                 .quarantine
                 .borrow()
@@ -262,13 +263,13 @@
         by_message: bool,
     ) {
         let members = &mut self.members;
-        self.heard.send_modify(|heard| {
+        self.seen_peers.send_modify(|seen_peers| {
             for (name, at) in seen {
                 let Some(record) = members.mark_seen(&name, at) else {
                     continue;
                 };
-                let known = heard.get(&name);
-                let status = SeenPeer {
+                let known = seen_peers.get(&name);
+                let peer = SeenPeer {
                     last_seen: known.map_or(at, |known| known.last_seen.max(at)),
                     has_sent_message: by_message
                         || known.is_some_and(|known| known.has_sent_message),
@@ -276,7 +277,7 @@
                     capacity: record.capacity,
                     zone: record.zone.clone(),
                 };
-                heard.insert(name, status);
+                seen_peers.insert(name, peer);
             }
         });
     }
@@ -291,9 +292,9 @@
         }
     }
 
-    /// Records a member's entry in the store. A new member counts as seen now: when all
-    /// nodes start, each then knows which peer to follow and who may lead before the
-    /// first messages arrive.
+    /// Records the entry of the member `name` in the store. A new member counts as seen
+    /// now: when all nodes start, each then knows which peer to follow and who may lead
+    /// before the first messages arrive.
     fn member_written(&mut self, name: Arc<str>, record: MemberRecord) {
         if name == self.context.settings.name {
             return;
@@ -308,14 +309,15 @@
     /// members changed.
     fn refresh_members(&mut self) {
         self.members.drop_unresponsive();
-        self.heard
-            .send_modify(|heard| heard.retain(|_, peer| peer.last_seen.elapsed() < MEMBER_TIMEOUT));
+        self.seen_peers.send_modify(|seen_peers| {
+            seen_peers.retain(|_, peer| peer.last_seen.elapsed() < MEMBER_TIMEOUT)
+        });
         if self.published_changes == Some(self.members.changes()) {
             return;
         }
         self.published_changes = Some(self.members.changes());
-        let own = self.context.settings.name.clone();
-        let members: Vec<Arc<str>> = self.members.names().cloned().chain([own]).collect();
+        let own_name = self.context.settings.name.clone();
+        let members: Vec<Arc<str>> = self.members.names().cloned().chain([own_name]).collect();
         self.context.metrics.set_member_count(members.len());
         self.context.dispatch.set_members(members);
     }
@@ -334,7 +336,7 @@
         self.relay.drop_unresponsive(now);
         let relays = self
             .members
-            .relays((&self.context.settings.name, &self.own));
+            .relays((&self.context.settings.name, &self.own_record));
         if relays.contains(&self.context.settings.name) {
             let name = self.context.settings.name.clone();
             self.relay.set_node_load(name, snapshot.load.clone(), now);
@@ -354,7 +356,7 @@
     ) {
         let message = Message::Load {
             node: self.context.settings.name.clone(),
-            record: self.own.clone(),
+            record: self.own_record.clone(),
             in_flight,
             news: updates,
         };
@@ -389,7 +391,7 @@
     pub(super) async fn send_to(&self, message: &Message, names: impl Iterator<Item = &Arc<str>>) {
         let bytes = message.encode();
         for member in names.filter_map(|name| self.members.get(name)) {
-            // As in `send_demand`: a lost datagram does no harm.
+            // A datagram that cannot be sent counts as lost.
             let _ = self.socket.send(&bytes, member.record.address).await;
         }
     }
--- a/crates/gateway/src/peers/times.rs
+++ b/crates/gateway/src/peers/times.rs
@@ -13,19 +13,21 @@
 const DEMAND_INTERVAL_PER_NODE: Duration = Duration::from_micros(3400);
 /// Minimum time between two demand messages while requests begin to wait.
 pub const URGENT_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for which a member without an entry in the store counts after it was last seen.
+/// Time after which a member that was not seen and has no entry in the store is
+/// dropped.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time without a message after which a peer may be gone, where all nodes send to all:
 /// three messages.
 const MESH_TIMEOUT: Duration = Duration::from_millis(1300);
-/// The same where peers are seen through relays: the age of what is known of one is up
-/// to 0.75 s, with two messages lost 1.5 s.
+/// Time without a message after which a peer may be gone, where messages go through
+/// relays: the last-seen time of a peer is up to 0.75 s old, or 1.5 s if two messages
+/// are lost.
 const RELAYED_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Number of intervals for which a message is valid: the next one may be lost, and the
 /// one after it late.
 pub const VALID_INTERVALS: u32 = 3;
-/// Every how many messages from a relay to its nodes one lists the nodes included in
-/// the sum.
+/// One in this many messages from a relay to its nodes lists the nodes included in the
+/// sum.
 pub const NODE_LIST_EVERY: u32 = 2;
 /// Time for which an unresponsive relay is not chosen again.
 pub const RELAY_AVOIDED_FOR: Duration = Duration::from_secs(2);
