--- a/crates/gateway/src/placement/inventories.rs
+++ b/crates/gateway/src/placement/inventories.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Returns the load that was ordered, with its expected remaining time; `None` if no
-/// load is in progress.
+/// Returns the model that the runner is loading by order, with the expected remaining
+/// time; `None` if it is loading none or the time is unknown.
 fn loading(view: &RunnerView) -> Option<Loading> {
     let Some(OrderAction::LoadModel { model }) = &view.order_in_progress else {
         return None;
@@ -45,7 +45,8 @@
     })
 }
 
-/// Splits `inventories` into messages of bounded size.
+/// Splits `inventories` into messages of at most about [`MAX_MESSAGE_BYTES`]; a larger
+/// inventory gets its own message.
 pub fn split_into_messages(inventories: Vec<Inventory>) -> Vec<Vec<Inventory>> {
     let mut messages = Vec::new();
     let mut message: Vec<Inventory> = Vec::new();
--- a/crates/gateway/src/placement/inventories_tests.rs
+++ b/crates/gateway/src/placement/inventories_tests.rs
@@ -8,7 +8,7 @@
 const PACKET_BYTES: usize = 1460;
 
 fn inventory(number: usize) -> Inventory {
-    let held = |model: usize| LoadedModel {
+    let replica = |model: usize| LoadedModel {
         model: format!("model-{number}-{model}").into(),
         version: 3,
         adapters: vec!["a7".into(), "a12".into()],
@@ -16,7 +16,7 @@
     Inventory {
         runner: format!("i-{number:010x}").into(),
         sequence: number as u64,
-        models: (0..3).map(held).collect(),
+        models: (0..3).map(replica).collect(),
         unloading: vec!["model-that-goes".into()],
         loading: None,
     }
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -1,4 +1,5 @@
-//! Acquires and renews the placement lease, without which no runner is given orders.
+//! Acquires and renews the placement lease; only the node that holds it may give orders
+//! to runners.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,22 +21,22 @@
 /// the time within which only one node may order a runner. A successor waits for the
 /// lease's end and then for that time.
 const UNFENCED_TIME_TO_LIVE: f64 = 0.5;
-/// The same where runners check fencing tokens. A leader then continues through most
-/// outages of the store, since an unresponsive one is replaced before its lease
-/// expires.
+/// The lease's time to live where runners check fencing tokens, as a fraction of the
+/// same time. A leader then continues through most outages of the store, since an
+/// unresponsive one is replaced before its lease expires.
 const FENCED_TIME_TO_LIVE: f64 = 2.0;
 /// Number of renewals within a time to live.
 const RENEWALS: u32 = 5;
-/// Time between two checks whether the leader is unresponsive, and between renewals
-/// while it is not known whether the lease lasts.
+/// Time between two checks whether the leader is unresponsive, and between two renewals
+/// while it is unknown whether the lease is still held.
 const CHECK_PERIOD: Duration = Duration::from_millis(200);
 /// Time without orders after the lease was acquired, where runners check fencing
 /// tokens.
 const FENCED_QUIET: Duration = Duration::from_millis(300);
 /// Safety margin subtracted from the lease's end.
 const MARGIN: Duration = Duration::from_millis(200);
-/// Delay at the start, in which the node learns from the members' entries which
-/// machines are larger.
+/// Delay before a started node competes for the lease: it first learns from the
+/// members' entries which machines are larger.
 const START_DELAY: Duration = Duration::from_millis(300);
 /// Maximum age of a vacancy that counts towards the time without orders, as a fraction
 /// of the time within which only one node may order a runner: nobody else can have
@@ -68,13 +69,13 @@
     /// Runs until the process is asked to stop, then releases the lease.
     pub async fn run(mut self) {
         let lifecycle = self.context.lifecycle.clone();
-        let held = self.lease.clone();
+        let lease_sender = self.lease.clone();
         let store = self.store.clone();
         tokio::select! {
             () = lifecycle.reached(Stage::Draining) => {}
             () = self.compete_for_lease() => {}
         }
-        if let Some(lease) = held.send_replace(None) {
+        if let Some(lease) = lease_sender.send_replace(None) {
             let call = StoreCall::EndLease { lease: lease.id };
             let _ = store.call(&call, CALL_TIMEOUT).await;
         }
@@ -121,7 +122,8 @@
         if !self.context.settings.bounds.fencing_enforced {
             return false;
         }
-        // A former process of this node on the same machine has certainly ended.
+        // An entry of this node itself is from a former process on the same machine,
+        // which has certainly ended.
         if leader.node == self.context.settings.name {
             return true;
         }
@@ -168,7 +170,7 @@
         else {
             return None;
         };
-        let era = self.store.era().borrow().number;
+        let era = self.store.watch_era().borrow().number;
         let quiet_from = self.quiet_from(vacant_since);
         let call = self.write_leader(predecessor, lease, era);
         match self.store.call(&call, CALL_TIMEOUT).await {
@@ -180,12 +182,12 @@
                 quiet_from.into_std(),
                 LeaseSettings {
                     margin: MARGIN,
-                    quiet_period: self.quiet(),
+                    quiet_period: self.quiet_period(),
                 },
             )),
             _ => {
-                // The entry may still be written, or be written later; it cannot stay
-                // without its lease.
+                // The entry may have been written, or may be written later; the store
+                // drops it once its lease has ended.
                 let end = StoreCall::EndLease { lease };
                 let _ = self.store.call(&end, CALL_TIMEOUT).await;
                 None
@@ -224,19 +226,19 @@
         }
         let earliest = Instant::now() - bounds.lease_duration.mul_f64(VACANCY_FRACTION);
         let vacant_since = vacant_since.max(earliest);
-        let era = *self.store.era().borrow();
+        let era = *self.store.watch_era().borrow();
         if *self.lease_era.borrow() == era.number {
             return vacant_since;
         }
-        // If a store that was restored from a backup has lost a lease, its holder had
-        // renewed it before the restore at the latest.
+        // A store restored from a backup may have lost a lease. Its holder renewed it
+        // before the restore, so it ends at most one time to live after that.
         vacant_since.max(era.since + self.time_to_live())
     }
 
     /// Returns how long no orders are given after the lease became vacant or, with
     /// fencing, was acquired. Without fencing no other node may have given an order
     /// within the lease duration.
-    fn quiet(&self) -> Duration {
+    fn quiet_period(&self) -> Duration {
         let bounds = &self.context.settings.bounds;
         if bounds.fencing_enforced {
             FENCED_QUIET
@@ -251,13 +253,13 @@
     async fn hold(&self, mut lease: Lease) {
         tracing::info!(event = "lease_taken", token = lease.token);
         self.lease.send_replace(Some(lease));
-        let mut era = self.store.era();
-        let acquired_in = era.borrow_and_update().number;
+        let mut era_watch = self.store.watch_era();
+        let acquired_era = era_watch.borrow_and_update().number;
         let mut leader_watch = LeaderWatch::new(self.leader.clone(), lease.token);
         loop {
             tokio::select! {
                 () = leader_watch.until_replaced() => break,
-                Ok(()) = era.changed() => {
+                Ok(()) = era_watch.changed() => {
                     self.lease.send_replace(None);
                 }
                 () = sleep(self.renewal_pause()) => {}
@@ -267,10 +269,10 @@
             match self.store.call(&call, CALL_TIMEOUT).await {
                 Ok(StoreAnswer::Renewed { time_to_live }) => {
                     lease.extend(sent_at, time_to_live);
-                    let current_era = era.borrow().number;
-                    let holds = current_era == acquired_in
+                    let current_era = era_watch.borrow().number;
+                    let is_held = current_era == acquired_era
                         || self.is_shown_as_leader(current_era, lease.token);
-                    self.lease.send_replace(holds.then_some(lease));
+                    self.lease.send_replace(is_held.then_some(lease));
                 }
                 Err(StoreError::LeaseGone) => break,
                 _ => {}
@@ -280,8 +282,8 @@
         self.lease.send_replace(None);
     }
 
-    /// Returns the time until the next renewal; short while it is not known whether the
-    /// lease lasts.
+    /// Returns the time until the next renewal; short while it is unknown whether the
+    /// lease is still held.
     fn renewal_pause(&self) -> Duration {
         let pause = self.time_to_live() / RENEWALS;
         if self.lease.borrow().is_some() {
@@ -350,7 +352,7 @@
     rmp_serde::from_slice(value).unwrap_or(0)
 }
 
-/// The name under which this node gives orders.
+/// Returns the name that orders of this node state as the holder of the lease.
 pub fn order_holder(context: &Context) -> Arc<str> {
     context.settings.name.clone()
 }
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -25,14 +25,15 @@
 
 /// Key of the leader's entry in the store.
 pub const LEADER_KEY: &str = "barleyspar/placement/leader";
-/// Key of the store's era in which the lease was last acquired. If the store was
-/// restored since and lost a lease of an earlier era, that lease has certainly expired.
+/// Key of the store's era in which the lease was last acquired. If this is the store's
+/// present era, a lease of an earlier era that the store lost in a restore has
+/// certainly expired.
 pub const LEASE_ERA_KEY: &str = "barleyspar/placement/era";
 
 /// The node that leads the placement, as this node's copy of the store shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaderRecord {
-    /// The leader's node name.
+    /// Name of the leading node, as in the lists of members and peers.
     pub node: Arc<str>,
     /// The address on which the leader receives messages.
     pub address: SocketAddr,
@@ -138,8 +139,8 @@
         self.send(Command::SetEvacuated(zones));
     }
 
-    /// Passes a node's demand to the planner, and has the reports of runners read that
-    /// the node cannot reach.
+    /// Passes the demand of `node` to the planner, and requests the reports of the
+    /// runners that it cannot reach (`unreachable`).
     pub fn report_demand(
         &self,
         node: Arc<str>,
--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -38,7 +38,7 @@
     #[error("the runner must not be called for {0:?}")]
     NotBefore(Duration),
     /// The call was sent but not answered: the runner may have acted on it, or may
-    /// still.
+    /// still do so.
     #[error("no answer: {0}")]
     Unanswered(String),
 }
@@ -52,7 +52,8 @@
     /// The answer is no valid report.
     #[error(transparent)]
     Unreadable(#[from] DialectError),
-    /// Another incarnation of the runner answered, which was started at this time.
+    /// Another incarnation of the runner answered, which was started at this time, in
+    /// milliseconds since 1970.
     #[error("the report is from another incarnation, started at {0}")]
     OtherIncarnation(u64),
 }
@@ -62,7 +63,8 @@
 pub struct OrderResult {
     /// The id of the runner.
     pub runner: Arc<str>,
-    /// The order that was given.
+    /// The order as it was to be sent, with its fencing token and expected sequence
+    /// number.
     pub order: Order,
     /// The runner's answer, or why there is none.
     pub answer: Result<OrderAnswer, CallError>,
@@ -126,10 +128,12 @@
     }
 }
 
+/// Sends `request` to `runner`, unless `is_allowed` returns false once the connection is
+/// open, and returns the answer. `call_name` names the call in the log.
 async fn call(
     context: &Context,
     runner: &Runner,
-    name: &'static str,
+    call_name: &'static str,
     mut request: Request<Bytes>,
     is_allowed: impl Fn() -> bool,
 ) -> Result<(StatusCode, Bytes), CallError> {
@@ -147,7 +151,7 @@
     if !is_allowed() {
         return Err(CallError::NotSent("the lease has ended".to_owned()));
     }
-    match exchange(context, runner, name, &mut connection, request).await {
+    match exchange(context, runner, call_name, &mut connection, request).await {
         Ok((status, facts, body)) => {
             let keep_alive = facts.keep_alive_seconds;
             context.pool.put_back(&runner.id, connection, keep_alive);
@@ -166,14 +170,14 @@
 async fn exchange(
     context: &Context,
     runner: &Runner,
-    name: &'static str,
+    call_name: &'static str,
     connection: &mut Connection,
     request: Request<Bytes>,
 ) -> Result<(StatusCode, AnswerFacts, Bytes), CallError> {
     let sent_at = Instant::now();
-    let until = sent_at + ANSWER_TIMEOUT;
+    let deadline = sent_at + ANSWER_TIMEOUT;
     let unanswered = |cause: String| CallError::Unanswered(cause);
-    let response = timeout_at(until, connection.send(request))
+    let response = timeout_at(deadline, connection.send(request))
         .await
         .map_err(|_| unanswered("timed out".to_owned()))?
         .map_err(|error| {
@@ -185,14 +189,14 @@
         })?;
     let (head, body) = response.into_parts();
     let facts = context.dialect.read_answer(&head);
-    let heard = SignalledCall {
-        runner: runner,
-        call: name,
+    let signalled_call = SignalledCall {
+        runner,
+        call: call_name,
         sent_at,
         limit_expected: false,
     };
-    signals::apply_signals(context, &heard, head.status, &facts);
-    let body = timeout_at(until, Limited::new(body, MAX_ANSWER_BYTES).collect())
+    signals::apply_signals(context, &signalled_call, head.status, &facts);
+    let body = timeout_at(deadline, Limited::new(body, MAX_ANSWER_BYTES).collect())
         .await
         .map_err(|_| unanswered("timed out".to_owned()))?
         .map_err(|error| unanswered(error.to_string()))?
@@ -203,12 +207,12 @@
 /// Acquires a permit to call `runner` if it is rate-limited: the leader's calls count
 /// towards the limit that all nodes share.
 async fn acquire_rate_permit(context: &Context, runner: &Runner) -> Result<(), CallError> {
-    let announced = context
+    let advertised = context
         .dispatch
         .advertised_limits()
         .get(&runner.id)
         .copied();
-    let Some(limit) = announced.and_then(|announced| announced.limit) else {
+    let Some(limit) = advertised.and_then(|advertised| advertised.limit) else {
         return Ok(());
     };
     match rate_permits::request_permit(context, &runner.id, limit).await {
--- a/crates/gateway/src/placement/runners.rs
+++ b/crates/gateway/src/placement/runners.rs
@@ -17,8 +17,8 @@
 
 /// Maximum number of runners for which a new leader reads all reports at once. Each
 /// read costs a connection and a probe; with more runners, a report is read when the
-/// first order for the runner is planned. A tenth of the descriptors of a small
-/// machine.
+/// first order for the runner is planned. These connections take a tenth of the
+/// descriptors of a small machine.
 const MAX_INITIAL_REPORTS: usize = 400;
 
 /// Minimum time between two reads of the report of a runner that some node cannot
@@ -116,7 +116,7 @@
         Some(runner)
     }
 
-    /// Drops a runner.
+    /// Drops a runner, so that it gets no orders.
     pub fn remove(&mut self, id: &str) {
         self.known.remove(id);
         self.tracked.remove(id);
@@ -138,31 +138,33 @@
         self.evacuated = zones;
     }
 
-    /// Excludes runners that announced that they are draining, whatever their entries
-    /// say.
-    pub fn set_draining(&mut self, leaving: &DrainingRunners) {
-        for id in leaving.iter() {
+    /// Excludes draining runners from orders, even those whose entries in the store do
+    /// not show yet that they drain.
+    pub fn set_draining(&mut self, draining: &DrainingRunners) {
+        for id in draining.iter() {
             if let Some(entry) = self.tracked.get_mut(id) {
                 entry.view.available = false;
             }
         }
     }
 
-    /// Applies the rate limits that runners announced. An order to a runner whose limit
-    /// is reached is not sent, and is planned again only once the runner may be called.
+    /// Applies the rate limits that runners advertised. An order to a runner whose
+    /// limit is reached is not sent, and is planned again only once the runner may be
+    /// called.
     pub fn set_limits(&mut self, limits: &AdvertisedLimits) {
         let now = Instant::now();
         for (id, entry) in &mut self.tracked {
-            let announced = limits
+            let advertised = limits
                 .get(id)
-                .filter(|announced| announced.is_current(now.into_std()));
-            let limit = announced.and_then(|announced| announced.limit);
+                .filter(|advertised| advertised.is_current(now.into_std()));
+            let limit = advertised.and_then(|advertised| advertised.limit);
             entry.view.rate_limit = limit.map(RunnerLimit::per_second);
             entry.view.calls_blocked = entry.no_calls_until.is_some_and(|until| now < until);
         }
     }
 
-    /// Has the reports of runners read again that some node cannot reach.
+    /// Schedules a read of the reports of the runners in `unreachable`, which some node
+    /// cannot reach, unless one was read within [`UNREACHABLE_REPORT_PAUSE`].
     pub fn reread_unreachable(&mut self, unreachable: &[RunnerKey]) {
         if unreachable.is_empty() {
             return;
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Has the reports of these runners read.
+    /// Schedules a read of the reports of these runners, unless one is scheduled
+    /// already.
     pub fn request_reports(&mut self, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(entry) = self.tracked.get_mut(id) {
@@ -188,12 +191,14 @@
         }
     }
 
-    /// Returns the tracked runner with this id; `None` unless this node leads.
+    /// Returns the tracked runner with this id; `None` if it has no engine or this node
+    /// does not lead.
     pub fn get(&self, id: &str) -> Option<&TrackedRunner> {
         self.tracked.get(id)
     }
 
-    /// Returns the tracked runner with this id; `None` unless this node leads.
+    /// Returns the tracked runner with this id, for changes; `None` if it has no engine
+    /// or this node does not lead.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut TrackedRunner> {
         self.tracked.get_mut(id)
     }
@@ -209,8 +214,8 @@
     }
 }
 
-/// Whether the runner's service has an engine. An entry may name a service that is not
-/// configured.
+/// Whether the runner's service has an engine; false if the runner's entry names a
+/// service that is not configured.
 fn is_engine(configuration: &Configuration, runner: &Runner) -> bool {
     let service = configuration.services.get(&runner.service);
     service.is_some_and(|service| service.engine.is_some())
--- a/crates/gateway/src/placement/summary.rs
+++ b/crates/gateway/src/placement/summary.rs
@@ -5,7 +5,7 @@
 /// Logs what a planning step saw, which explains why models that lack replicas get
 /// none.
 pub fn log_step(summary: &StepSummary) {
-    let most = summary.most_wanted.as_ref();
+    let most_wanted = summary.most_wanted.as_ref();
     tracing::info!(
         event = "placement_step",
         service = &*summary.service,
@@ -14,10 +14,10 @@
         store_loads = summary.store_loads,
         store_bound = summary.store_bound,
         store_ready = summary.store_ready,
-        most_wanted = most.map(|most| &*most.model),
-        waiting = most.map(|most| most.waiting),
-        in_flight = most.map(|most| most.in_flight),
-        replicas = most.map(|most| most.replicas),
-        needed = most.map(|most| most.needed)
+        most_wanted = most_wanted.map(|demand| &*demand.model),
+        waiting = most_wanted.map(|demand| demand.waiting),
+        in_flight = most_wanted.map(|demand| demand.in_flight),
+        replicas = most_wanted.map(|demand| demand.replicas),
+        needed = most_wanted.map(|demand| demand.needed)
     );
 }
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -21,7 +21,7 @@
 use crate::placement::tracked_runner::{apply_accepted_order, apply_report, load_time};
 use crate::placement::{Command, PlacementHandle, PlacementInbox};
 
-/// Maximum time between two planning steps.
+/// Time after which the leader's task takes a step even if nothing has changed.
 const TICK: Duration = Duration::from_millis(100);
 /// Minimum pause after a planning step, as a multiple of the step's duration: demand
 /// comes from hundreds of nodes, and a step per message would leave no time for orders.
@@ -29,23 +29,26 @@
 /// Delay between an order's expected end and the first read of the runner's report. A
 /// report from before the order has a lower sequence number and is read again.
 const REPORT_LAG: Duration = Duration::from_millis(80);
-/// The same at a rate-limited runner: late enough that the first report shows the
-/// order's result.
+/// Delay between an order's expected end and the first read of a rate-limited runner's
+/// report: late enough that this report shows the order's result.
 const LIMITED_REPORT_LAG: Duration = Duration::from_millis(300);
-/// Time between two steps of the task from which on the process must have been frozen.
+/// Minimum time between two steps of the task that shows that the process was frozen.
 const FREEZE: Duration = Duration::from_millis(500);
-/// Time without orders after a freeze, in which the node learns of a successor.
+/// Time without orders after a freeze: if another node has become the leader meanwhile,
+/// this node learns of it.
 const NO_ORDERS_AFTER_FREEZE: Duration = Duration::from_millis(700);
-/// Minimum time between two messages with inventories, per receiving node; changes
-/// within it are sent together.
+/// Minimum time between two publications of inventories, for each node of the fleet;
+/// changes within it are sent together.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(1);
-/// Maximum of that time. Nodes learn of a replica this much later; where relays forward
-/// the messages, the leader sends to few nodes however many there are.
+/// Maximum of the time between two publications of inventories, by which nodes learn of
+/// a replica later. Where relays forward the messages, the leader sends to few nodes,
+/// however large the fleet is.
 const MAX_PUBLISH_PAUSE: Duration = Duration::from_millis(40);
-/// Time between two log lines on planning steps: one a second is enough to explain a
-/// cold start, and adds little to the lines on orders.
+/// Minimum time between two log lines on planning steps: one a second is enough to
+/// explain a cold start, and adds little to the lines on orders.
 const SUMMARY_PAUSE: Duration = Duration::from_secs(1);
-/// Delay before a report is requested again after a failure.
+/// Delay before a report is read again after a read failed or the runner could not be
+/// reached.
 const REPORT_RETRY: Duration = Duration::from_millis(500);
 
 /// Leads the placement while this node holds the lease: reads reports, plans, gives
@@ -53,11 +56,13 @@
 pub struct PlacementTask {
     context: Context,
     planner: Planner,
-    book: ClusterDemand,
+    demand: ClusterDemand,
     configuration: Arc<Configuration>,
     runners: Runners,
     lease: watch::Receiver<Option<Lease>>,
-    leading: Option<u64>,
+    /// The fencing token of the lease under which this node leads; `None` while it does
+    /// not lead.
+    leading_token: Option<u64>,
     /// The highest token of this node that a runner rejected in favour of a higher one;
     /// orders need a higher token.
     fenced_token: u64,
@@ -83,11 +88,11 @@
         Self {
             context,
             planner,
-            book: ClusterDemand::default(),
+            demand: ClusterDemand::default(),
             configuration: Arc::default(),
             runners: Runners::default(),
             lease,
-            leading: None,
+            leading_token: None,
             fenced_token: 0,
             unpublished: BTreeSet::new(),
             summary_logged_at: None,
@@ -99,7 +104,7 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut next = Instant::now() + TICK;
+        let mut next_step = Instant::now() + TICK;
         let mut planning_paused_until = Instant::now();
         let mut stepped_at = None;
         let mut quiet_until = Instant::now();
@@ -114,7 +119,7 @@
                     None => return,
                 },
                 changed = lease.changed(), if !lease_over => lease_over = changed.is_err(),
-                () = sleep_until(next), if self.leading.is_some() => {}
+                () = sleep_until(next_step), if self.leading_token.is_some() => {}
                 () = sleep_until(next_publication), if !self.unpublished.is_empty() => {
                     self.send_inventories();
                     next_publication = Instant::now() + self.publish_pause();
@@ -125,7 +130,7 @@
                 self.handle_command(command);
             }
             self.follow_lease();
-            if self.leading.is_some() {
+            if self.leading_token.is_some() {
                 if stepped_at.is_some_and(|at: Instant| at.elapsed() > FREEZE) {
                     quiet_until = Instant::now() + NO_ORDERS_AFTER_FREEZE;
                 }
@@ -139,10 +144,10 @@
             }
             // Only a leader takes a step in every tick, so only its pauses show a
             // freeze.
-            stepped_at = self.leading.map(|_| Instant::now());
-            next = Instant::now() + TICK;
+            stepped_at = self.leading_token.map(|_| Instant::now());
+            next_step = Instant::now() + TICK;
             if planning_paused_until > Instant::now() {
-                next = planning_paused_until;
+                next_step = planning_paused_until;
             }
         }
     }
@@ -156,12 +161,12 @@
         match command {
             Command::Configure(configuration) => {
                 self.configuration = configuration;
-                if self.leading.is_some() {
+                if self.leading_token.is_some() {
                     self.runners.track_engines(&self.configuration);
                 }
             }
             Command::UpdateRunner(runner) => {
-                let leads = self.leading.is_some();
+                let leads = self.leading_token.is_some();
                 self.runners.update(runner, &self.configuration, leads);
             }
             Command::RemoveRunner(id) => self.runners.remove(&id),
@@ -169,7 +174,7 @@
             Command::RetainRunners(kept) => self.runners.retain(&kept),
             Command::Demand(node, items, unreachable) => {
                 let valid_for = demand_valid_for(self.context.dispatch.member_count());
-                self.book.update(node, items, valid_for, now());
+                self.demand.update(node, items, valid_for, now());
                 self.runners.reread_unreachable(&unreachable);
             }
             Command::Ordered(result) => self.handle_order_result(result),
@@ -180,10 +185,10 @@
     /// Starts or stops leading when the lease was acquired or lost.
     fn follow_lease(&mut self) {
         let token = self.lease.borrow_and_update().map(|lease| lease.token);
-        if token == self.leading {
+        if token == self.leading_token {
             return;
         }
-        self.leading = token;
+        self.leading_token = token;
         self.context.metrics.set_leading(token.is_some());
         self.planner.reset(now());
         match token {
@@ -288,7 +293,7 @@
             .collect();
         let orders = self
             .planner
-            .plan(&self.configuration, &mut views, &mut self.book, now());
+            .plan(&self.configuration, &mut views, &mut self.demand, now());
         self.runners.request_reports(self.planner.reports_needed());
         for order in orders {
             self.send_order(order, lease.token);
@@ -334,8 +339,8 @@
         );
         let (context, runner) = (self.context.clone(), entry.runner.clone());
         let (handle, lease) = (self.handle.clone(), self.lease.clone());
-        // Published already now, with the load in progress: requests wait only for a
-        // load that was ordered.
+        // Published before the answer, since requests wait for a model only once its
+        // load was ordered.
         self.publish_runner(&planned.runner);
         crate::tasks::spawn(async move {
             handle.send(Command::Ordered(
--- a/crates/gateway/src/placement/tracked_runner.rs
+++ b/crates/gateway/src/placement/tracked_runner.rs
@@ -7,13 +7,15 @@
 use barleyspar_loading::RunnerView;
 use tokio::time::Instant;
 
-/// Delay before a report is read again while the runner is not done with its orders. A
+/// Delay before a report is read again while the runner is carrying out an order. A
 /// read is cheap (a report is 300 bytes), whereas a late report delays a cold start.
 const REPORT_DELAY: Duration = Duration::from_millis(60);
-/// The same for a rate-limited runner, where each read takes a permit from callers.
+/// Delay before the report of a rate-limited runner is read again: each read takes a
+/// permit from callers.
 const LIMITED_REPORT_DELAY: Duration = Duration::from_millis(400);
-/// Time for which a busy runner is assumed to stay busy if its order is unknown. A
-/// runner that is still busy after it is assumed to stay so for as long again.
+/// Time for which a busy runner is assumed to stay busy if its order is unknown. The
+/// planner assumes that a runner that is busy for longer stays so for as long as it is
+/// overdue.
 const ASSUMED_BUSY_FOR: Duration = Duration::from_secs(1);
 
 /// A runner that the leader may give orders, with the state of its reports and orders.
@@ -36,8 +38,8 @@
 }
 
 impl TrackedRunner {
-    /// Returns the delay before the report is read again if the last one came too
-    /// early.
+    /// Returns the delay before the report is read again if the last one did not show
+    /// the result of the runner's orders.
     pub fn report_retry_delay(&self) -> Duration {
         if self.view.rate_limit.is_some() {
             LIMITED_REPORT_DELAY
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Creates the entry of a runner of which nothing but its entry in the store is
-    /// known.
+    /// Tracks a runner of which only its entry in the store is known; its report is
+    /// read at once.
     pub fn new(runner: &Arc<Runner>) -> Self {
         Self {
             runner: runner.clone(),
@@ -86,7 +88,8 @@
     entry.report_at = (!is_done).then(|| Instant::now() + delay);
 }
 
-/// Applies that the runner accepted `order`, before its next report confirms it.
+/// Updates the runner's state for an accepted `order`, before the next report confirms
+/// it.
 pub fn apply_accepted_order(entry: &mut TrackedRunner, order: &Order) {
     let view = &mut entry.view;
     view.sequence = order.expected_sequence + 1;
@@ -98,8 +101,12 @@
         }
         OrderAction::UnloadAdapter { model, adapter } => {
             view.order_in_progress = None;
-            for held in view.models.iter_mut().filter(|held| held.model == *model) {
-                held.adapters.retain(|name| name != adapter);
+            for replica in view
+                .models
+                .iter_mut()
+                .filter(|replica| replica.model == *model)
+            {
+                replica.adapters.retain(|name| name != adapter);
             }
         }
     }
--- a/crates/gateway/src/register.rs
+++ b/crates/gateway/src/register.rs
@@ -31,12 +31,12 @@
 }
 
 /// Writes this node's entry under a lease and keeps it in the store for as long as the
-/// process runs; `seen` is this node's copy of the store.
-pub async fn register(store: Store, context: Context, seen: watch::Receiver<FeedState>) {
+/// process runs; `state` is this node's copy of the store.
+pub async fn register(store: Store, context: Context, state: watch::Receiver<FeedState>) {
     let key = member_key(&context);
     loop {
         match write_entry(&store, &context).await {
-            Some(lease) => keep_renewed(&store, lease, &key, seen.clone()).await,
+            Some(lease) => keep_renewed(&store, lease, &key, state.clone()).await,
             None => sleep(RETRY_PAUSE).await,
         }
     }
@@ -51,7 +51,7 @@
     let StoreAnswer::Lease { lease, .. } = answer else {
         return None;
     };
-    let put = StoreCall::Commit(Transaction {
+    let commit = StoreCall::Commit(Transaction {
         writes: vec![Write {
             key: member_key(context),
             value: member_value(&MemberRecord::of(&context.settings)).into(),
@@ -60,12 +60,12 @@
         ..Transaction::default()
     });
     if matches!(
-        store.call(&put, CALL_TIMEOUT).await,
+        store.call(&commit, CALL_TIMEOUT).await,
         Ok(StoreAnswer::Committed { .. })
     ) {
         return Some(lease);
     }
-    // The entry may still be written; it cannot stay without its lease.
+    // The entry may still be written; the store drops it once its lease has ended.
     let _ = store
         .call(&StoreCall::EndLease { lease }, CALL_TIMEOUT)
         .await;
@@ -74,21 +74,21 @@
 
 /// Renews the lease until the store reports its end, or has lost the entry in a
 /// restore.
-async fn keep_renewed(store: &Store, lease: u64, key: &str, mut seen: watch::Receiver<FeedState>) {
-    let mut eras = store.era();
-    let mut era = eras.borrow_and_update().number;
+async fn keep_renewed(store: &Store, lease: u64, key: &str, mut state: watch::Receiver<FeedState>) {
+    let mut era_watch = store.watch_era();
+    let mut era = era_watch.borrow_and_update().number;
     loop {
         // A store that is restored from a backup may have lost the lease or the entry,
         // so a new era causes an immediate renewal.
-        let _ = timeout(RENEWAL_PERIOD, eras.changed()).await;
+        let _ = timeout(RENEWAL_PERIOD, era_watch.changed()).await;
         let call = StoreCall::RenewLease { lease };
         if let Err(StoreError::LeaseGone) = store.call(&call, CALL_TIMEOUT).await {
             return;
         }
-        let current_era = eras.borrow_and_update().number;
+        let current_era = era_watch.borrow_and_update().number;
         if current_era > era {
             era = current_era;
-            if !is_entry_shown(&mut seen, key, era).await {
+            if !is_entry_shown(&mut state, key, era).await {
                 return;
             }
         }
@@ -97,10 +97,11 @@
 
 /// Whether the store shows an entry under `key` in `era`; waits until the copy shows
 /// that era.
-async fn is_entry_shown(seen: &mut watch::Receiver<FeedState>, key: &str, era: u32) -> bool {
-    let shows_era = |state: &FeedState| state.revision().era >= era;
+async fn is_entry_shown(state: &mut watch::Receiver<FeedState>, key: &str, era: u32) -> bool {
+    let shows_era = |copy: &FeedState| copy.revision().era >= era;
     // The feed ends only with the process.
-    seen.wait_for(shows_era)
+    state
+        .wait_for(shows_era)
         .await
-        .is_ok_and(|state| state.has_key(key))
+        .is_ok_and(|copy| copy.has_key(key))
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -18,7 +18,7 @@
 use crate::network::Network;
 use crate::upstream::Connection;
 
-/// Seconds that a connection to the store may stay idle.
+/// Time for which a connection to the store may stay idle, in seconds.
 const KEEP_ALIVE_SECONDS: u64 = 5;
 
 /// Maximum duration of one call, even while its answer keeps arriving.
@@ -44,7 +44,7 @@
 pub struct Era {
     /// The era's number; 0 before the first answer.
     pub number: u32,
-    /// When this node learnt of the era.
+    /// When this node first learned of the era.
     pub since: Instant,
 }
 
@@ -98,8 +98,8 @@
         *last_answer_at = Some(Instant::now());
     }
 
-    /// Returns the newest era that this node knows of, and its changes.
-    pub fn era(&self) -> watch::Receiver<Era> {
+    /// Returns a receiver of the newest era that this node knows of.
+    pub fn watch_era(&self) -> watch::Receiver<Era> {
         self.era.subscribe()
     }
 
@@ -117,8 +117,9 @@
         });
     }
 
-    /// Whether a condition of the call names a revision of an earlier era: the store
-    /// would compare its number with that of another change.
+    /// Whether a condition of the call names a revision of an earlier era. Such a call
+    /// must not be sent: in the store's present era, the same number denotes another
+    /// change.
     fn is_outdated(&self, call: &StoreCall) -> bool {
         let StoreCall::Commit(Transaction { conditions, .. }) = call else {
             return false;
@@ -128,9 +129,9 @@
         revisions.any(|revision| revision.era < era)
     }
 
-    /// Makes one call. Waits up to `answer_timeout` for the answer to begin, and as
-    /// long for each further part: a long answer that keeps arriving is not dropped,
-    /// since the next one would be as long.
+    /// Sends one call and returns its answer. Waits up to `answer_timeout` for the
+    /// answer to begin, and as long for each further part: a long answer that keeps
+    /// arriving is not dropped, since the next one would be as long.
     pub async fn call(
         &self,
         call: &StoreCall,
@@ -175,14 +176,14 @@
         self.lock_idle().push(connection);
         if era < self.era.borrow().number {
             return Err(StoreError::Unanswered(
-                "the store has been restored from a backup since".to_owned(),
+                "the store was restored from a backup before the answer arrived".to_owned(),
             ));
         }
         self.dialect.read_store_answer(call, era, status, &body)
     }
 
     async fn send(&self, call: &StoreCall) -> Result<(Connection, Response<Incoming>), StoreError> {
-        let mut connection = match self.checkout() {
+        let mut connection = match self.take_idle_connection() {
             Some(connection) => connection,
             None => Connection::open(&*self.network, self.address, Duration::from_secs(60), None)
                 .await
@@ -224,7 +225,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn checkout(&self) -> Option<Connection> {
+    fn take_idle_connection(&self) -> Option<Connection> {
         let mut idle = self.lock_idle();
         idle.retain(Connection::is_alive);
         idle.pop()
