--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -31,15 +31,16 @@
     pub context: Context,
     /// The routes in force; `None` before the first configuration.
     pub routes: watch::Sender<Option<Arc<RouteTable>>>,
-    /// The placement task.
+    /// Receives the configuration, the runners and the zones under evacuation.
     pub placement: PlacementHandle,
-    /// The peers task.
+    /// Receives the members' entries in the store.
     pub peers: PeerHandle,
     /// The leader of the placement; `None` while there is none.
     pub leader: watch::Sender<Option<LeaderRecord>>,
     /// The store's era in which the placement lease was last acquired.
     pub lease_era: watch::Sender<u32>,
-    /// As of when the routes in force were known to be the operators' latest.
+    /// The latest time as of which the routes in force are known to be the operators'
+    /// newest; `None` before the first confirmation.
     pub confirmed_at: watch::Sender<Option<Instant>>,
     /// Writes the configuration in force to the store if the store shows an older one.
     pub configuration_keeper: ConfigurationKeeper,
@@ -87,9 +88,10 @@
         }
     }
 
-    /// Applies what was decided since the store was restored from a backup.
+    /// Applies the due decisions on entries that are uncertain since the store was
+    /// restored from a backup.
     fn apply_decisions(&mut self) {
-        for decision in self.restore_tracker.take_due() {
+        for decision in self.restore_tracker.take_due_decisions() {
             match decision {
                 Decision::RunnerGone(name) => self.drop_runner(&name),
                 Decision::EvacuationEnded(zone) => self.update_evacuated(|zones| {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Records that no change before `at` is missing. That confirms no configuration if
-    /// this node could not read the latest one.
+    /// Records that this node has received all changes before `at`. This confirms the
+    /// routes in force unless the latest configuration could not be read.
     fn confirm_routes(&self, at: Instant) {
         if !self.configuration_unreadable {
             self.confirmed_at.send_replace(Some(at));
@@ -112,7 +114,7 @@
 
     fn apply_full_read(&mut self, items: Vec<Item>, era: u32) {
         let is_restored = self.restore_tracker.start_era(era);
-        self.configuration_keeper.reset_shown();
+        self.configuration_keeper.reset_shown_version();
         self.kept_revision = None;
         let members: Vec<&str> = items
             .iter()
@@ -159,20 +161,20 @@
             members = members.len(),
             objects = items.len()
         );
-        let kept: Vec<Arc<str>> = self
+        let ids: Vec<Arc<str>> = self
             .runners
             .values()
             .map(|known| known.id.clone())
             .collect();
-        self.context.dispatch.retain_runners(kept.clone());
-        self.placement.retain_runners(kept);
+        self.context.dispatch.retain_runners(ids.clone());
+        self.placement.retain_runners(ids);
         if is_restored {
             self.keep_configuration();
         }
     }
 
-    /// Records which runners and evacuations this node knew and a restored store does
-    /// not show.
+    /// Records the runners and evacuations that this node knows but that are not in
+    /// `items`, the full state of the restored store.
     fn record_missing(&mut self, items: &[Item]) {
         let dialect = self.context.dialect.clone();
         let runners: HashSet<&str> = items
@@ -223,7 +225,7 @@
             Ok(StoredObject::Configuration(configuration)) => {
                 self.configuration_unreadable = false;
                 self.configuration_keeper
-                    .record_shown(configuration.version);
+                    .record_shown_version(configuration.version);
                 if self.configure(*configuration) {
                     self.configuration_item = Some(item.clone());
                 }
@@ -243,7 +245,7 @@
                 tracing::warn!(event = "object_unreadable", key = item.key, %error);
                 let dialect = self.context.dialect.clone();
                 match dialect.runner_name_in_key(&item.key) {
-                    // The entry is not one of this system, or it names no usable
+                    // The entry was written by another system, or describes no usable
                     // runner.
                     Some(name) => self.drop_runner(name),
                     None => self.configuration_unreadable = true,
@@ -268,7 +270,8 @@
         }
     }
 
-    /// Drops the runner `name`, whose entry was removed or no longer says where it is.
+    /// Drops the runner `name` here, in the dispatcher and in the placement task; does
+    /// nothing if it is unknown.
     fn drop_runner(&mut self, name: &str) {
         let Some(known) = self.runners.remove(name) else {
             return;
@@ -295,10 +298,10 @@
         self.placement.set_evacuated(zones);
     }
 
-    /// Returns until when runners of a zone whose evacuation is read now still serve
-    /// models that are loaded nowhere else. The evacuation was requested after the last
-    /// time at which this node had missed no change, so its bound began then at the
-    /// earliest.
+    /// Returns the time until which runners of a zone, whose evacuation is read now,
+    /// still serve models that are loaded nowhere else. The evacuation was requested
+    /// after the last time at which this node had missed no change, so its bound began
+    /// then at the earliest.
     fn evacuation_deadline(&self) -> Instant {
         let now = Instant::now();
         let bound = self.context.settings.bounds.evacuation_time;
@@ -322,8 +325,8 @@
         routes.as_ref().map(|table| table.configuration().version)
     }
 
-    /// Puts a configuration in force unless that version or a newer one is. Returns
-    /// whether it did.
+    /// Puts a configuration in force unless the same or a newer version already is.
+    /// Returns whether it did.
     fn configure(&self, configuration: barleyspar_catalog::Configuration) -> bool {
         if self.version_in_force() >= Some(configuration.version) {
             return false;
@@ -357,19 +360,19 @@
             tracing::info!(event = "runner_doubted", runner, era = revision.era);
             return;
         }
-        if !self.is_latest_incarnation(&runner) {
+        if !self.drop_earlier_incarnation(&runner) {
             return;
         }
         self.names.intern_names(&mut runner);
         let runner = Arc::new(runner);
-        self.log_runner(&runner, revision, in_full_read);
+        self.record_runner(&runner, revision, in_full_read);
         self.placement.update_runner(runner.clone());
         self.context.dispatch.update_runner(runner);
     }
 
-    /// Drops an earlier incarnation of `runner`. Returns false if `runner` itself is
-    /// the earlier one.
-    fn is_latest_incarnation(&mut self, runner: &Runner) -> bool {
+    /// Returns false if a later incarnation of `runner` is known. Otherwise drops any
+    /// earlier one and returns true.
+    fn drop_earlier_incarnation(&mut self, runner: &Runner) -> bool {
         let Some(known) = self.runners.get(&runner.name) else {
             return true;
         };
@@ -388,11 +391,12 @@
         true
     }
 
-    /// Logs that a runner was added or that its state changed. A change of its models
-    /// alone is not logged: these are most changes of a large fleet, and the leader's
-    /// orders and reports show them. Nor are runners of a full read (`in_full_read`) in
-    /// the usual state, which `store_known` counts.
-    fn log_runner(&mut self, runner: &Arc<Runner>, revision: Revision, in_full_read: bool) {
+    /// Stores the runner's entry, and logs that the runner was added or that its state
+    /// changed. A change of its models alone is not logged: these are most changes of a
+    /// large fleet, and the leader's orders and reports show them. New runners in a
+    /// full read (`in_full_read`) that are available are not logged either: the log
+    /// line `store_known` counts them.
+    fn record_runner(&mut self, runner: &Arc<Runner>, revision: Revision, in_full_read: bool) {
         let known = self.runners.insert(runner.name.clone(), runner.clone());
         let known_state = known.map(|known| known.state);
         let expected = known_state.unwrap_or(RunnerState::Available);
--- a/crates/gateway/src/kept_configuration.rs
+++ b/crates/gateway/src/kept_configuration.rs
@@ -36,22 +36,23 @@
 }
 
 impl ConfigurationKeeper {
-    /// Forgets the version shown, before the full state is read anew.
-    pub fn reset_shown(&self) {
+    /// Resets the version that the store shows, before the items of a full read are
+    /// applied.
+    pub fn reset_shown_version(&self) {
         self.shown_version.send_replace(0);
     }
 
     /// Records that the store shows a configuration with this version.
-    pub fn record_shown(&self, version: u64) {
+    pub fn record_shown_version(&self, version: u64) {
         self.shown_version
             .send_modify(|shown| *shown = version.max(*shown));
     }
 
     /// Writes `item`, the configuration `version` that is in force, under
     /// [`KEPT_CONFIGURATION_KEY`], unless the store shows that version by the end of
-    /// this node's staggered delay. `kept` is the revision of the present item under
-    /// that key.
-    pub fn keep(&self, item: Item, version: u64, kept: Option<Revision>) {
+    /// this node's staggered delay. `kept_revision` is the revision of the present item
+    /// under that key, `None` if there is none.
+    pub fn keep(&self, item: Item, version: u64, kept_revision: Option<Revision>) {
         if *self.shown_version.borrow() >= version {
             return;
         }
@@ -67,15 +68,17 @@
             tracing::warn!(event = "configuration_kept", version, in_store);
             // A failure is logged by the store client; a conflict means that another
             // node was faster.
-            let _ = store.call(&write_call(&item, kept), CALL_TIMEOUT).await;
+            let _ = store
+                .call(&write_call(&item, kept_revision), CALL_TIMEOUT)
+                .await;
         });
     }
 }
 
-fn write_call(item: &Item, kept: Option<Revision>) -> StoreCall {
+fn write_call(item: &Item, kept_revision: Option<Revision>) -> StoreCall {
     let value = rmp_serde::to_vec(item).expect("an item is serializable");
     StoreCall::Commit(Transaction {
-        conditions: vec![(KEPT_CONFIGURATION_KEY.to_owned(), kept)],
+        conditions: vec![(KEPT_CONFIGURATION_KEY.to_owned(), kept_revision)],
         writes: vec![Write {
             key: KEPT_CONFIGURATION_KEY.to_owned(),
             value: value.into(),
@@ -85,7 +88,8 @@
     })
 }
 
-/// Decodes the kept item; logs a malformed one and returns `None`.
+/// Decodes the value under [`KEPT_CONFIGURATION_KEY`] to the configuration's item; logs
+/// a malformed one and returns `None`.
 pub fn decode(value: &[u8]) -> Option<Item> {
     let item = rmp_serde::from_slice(value);
     item.inspect_err(|error| {
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -23,7 +23,8 @@
 }
 
 /// Whether the node may serve callers and is not being stopped. A node that cannot show
-/// that its copy of the credentials is recent lets callers go to other nodes.
+/// that its copy of the credentials is recent is not ready, so that clients go to other
+/// nodes.
 fn is_ready(context: &Context) -> bool {
     context.may_serve() && context.lifecycle.stage() == Stage::Running
 }
--- a/crates/gateway/src/restore_tracker.rs
+++ b/crates/gateway/src/restore_tracker.rs
@@ -2,8 +2,8 @@
 //!
 //! The backup lacks what was written after it: runners and evacuations that it does not
 //! show are kept until their writers had time to write them again. It also shows
-//! runners that had gone: these are not used unless their heartbeat rises or they stay
-//! long enough.
+//! runners that had gone: these are not used until their heartbeat rises or their
+//! entries have lasted long enough.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -17,10 +17,11 @@
 /// Time after which a runner that had gone counts as alive if its entry is still there:
 /// longer than the entry of a dead runner lasts.
 const ALIVE_AFTER: Duration = Duration::from_secs(10);
-/// Time for which a runner that has gone is remembered.
+/// Time for which a runner that has gone is remembered, to recognize it in a backup.
 const REMEMBERED_FOR: Duration = Duration::from_secs(600);
 
-/// A runner that has gone.
+/// A runner that this node dropped, because its entry was removed, replaced by that of
+/// another incarnation, or unreadable.
 #[derive(Debug)]
 struct GoneRunner {
     id: Arc<str>,
@@ -53,8 +54,11 @@
 #[derive(Debug, Default)]
 pub struct RestoreTracker {
     era: Option<u32>,
+    /// Names of runners that the restored store lacks but that may be written again.
     missing_runners: HashSet<Arc<str>>,
+    /// Zones whose evacuation the restored store lacks but that may be written again.
     missing_zones: HashSet<Arc<str>>,
+    /// When entries that are still missing count as removed.
     missing_until: Option<Instant>,
     gone: HashMap<Arc<str>, GoneRunner>,
     uncertain: HashMap<Arc<str>, UncertainRunner>,
@@ -97,8 +101,8 @@
     }
 
     /// Checks an entry of a runner that the store shows. Returns false if the runner
-    /// had gone before the restore and may be dead; the decision then comes from
-    /// `take_due`.
+    /// had gone before the restore and may be dead; the decision on it is later
+    /// returned by `take_due_decisions`.
     pub fn accepts(&mut self, runner: &Runner, revision: Revision) -> bool {
         self.missing_runners.remove(&runner.name);
         let is_uncertain = self.gone.get(&runner.name).is_some_and(|gone| {
@@ -139,14 +143,15 @@
         self.gone.insert(runner.name.clone(), gone);
     }
 
-    /// Returns when the next decision is due; `None` if nothing is uncertain.
+    /// Returns when the next decision is due; `None` if no entry is uncertain.
     pub fn next_decision_at(&self) -> Option<Instant> {
         let uncertain = self.uncertain.values().map(|uncertain| uncertain.alive_at);
         uncertain.chain(self.missing_until).min()
     }
 
-    /// Returns the decisions that are due now.
-    pub fn take_due(&mut self) -> Vec<Decision> {
+    /// Returns the decisions that are due now, and forgets the entries that they
+    /// concern.
+    pub fn take_due_decisions(&mut self) -> Vec<Decision> {
         let now = Instant::now();
         let mut decisions = Vec::new();
         if self.missing_until.is_some_and(|until| until <= now) {
