--- a/crates/standin/tests/limits.rs
+++ b/crates/standin/tests/limits.rs
@@ -216,7 +216,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_loaded_only_on_a_rate_limited_runner_is_soon_served_elsewhere() {
+async fn a_model_with_replicas_only_on_a_rate_limited_runner_is_soon_served_elsewhere() {
     for limit in [0.5, 1.0, 2.0] {
         let world = engine_world().await;
         let runner = &world.runners["engine-1"];
--- a/crates/standin/tests/runner_leaves.rs
+++ b/crates/standin/tests/runner_leaves.rs
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_model_loaded_only_on_a_draining_runner_is_loaded_elsewhere() {
+async fn a_model_with_replicas_only_on_a_draining_runner_is_loaded_elsewhere() {
     let mut world = World::new(
         vec![engine_service("engine", &["a", "b", "c"])],
         vec![route("/stream/", "engine", RequestKind::Streaming)],
