--- a/crates/barleyspar/src/check.rs
+++ b/crates/barleyspar/src/check.rs
@@ -20,9 +20,9 @@
             .is_some_and(|extension| extension == "rhai")
         {
             read_policy(file)?;
-        } else if barleyspar_dialect::is_deploy(&text) {
-            barleyspar_dialect::check_deploy(file)?;
-        } else if barleyspar_dialect::is_settings(&text) {
+        } else if barleyspar_dialect::is_deploy_file(&text) {
+            barleyspar_dialect::check_deploy_file(file)?;
+        } else if barleyspar_dialect::is_settings_file(&text) {
             barleyspar_dialect::read_settings(file, None)?;
         } else if !is_node_settings(file) {
             manifests.push(file.clone());
--- a/crates/catalog/src/dialect.rs
+++ b/crates/catalog/src/dialect.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::{
-    AnswerFacts, Configuration, Forward, Order, OrderAnswer, Report, RequestFacts, Runner,
+    AnswerFacts, Configuration, ForwardedHeaders, Order, OrderAnswer, Report, RequestFacts, Runner,
     StoreAnswer, StoreCall, StoreError,
 };
 
@@ -56,7 +56,7 @@
     /// Returns who may set the header `name` of a request.
     fn header_owner(&self, name: &HeaderName) -> HeaderOwner;
     /// Returns the headers that this system adds to a caller's request for the runner.
-    fn added_headers(&self, forward: &Forward) -> HeaderMap;
+    fn added_headers(&self, forward: &ForwardedHeaders) -> HeaderMap;
     /// Extracts the facts from the head of a runner's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerFacts;
     /// Returns the headers of an answer that the gateway itself gives to the request with
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -28,7 +28,7 @@
 pub use dialect::{Dialect, DialectError, HeaderOwner, StoredObject};
 pub use limit::RunnerLimit;
 pub use order::{Order, OrderAction, OrderAnswer, Report};
-pub use request::{Forward, ModelReference, RequestFacts};
+pub use request::{ForwardedHeaders, ModelReference, RequestFacts};
 pub use revision::Revision;
 pub use routes::RouteTable;
 pub use runner::{LoadedModel, Runner, RunnerState, WeightCopies, incarnation_id};
--- a/crates/catalog/src/request.rs
+++ b/crates/catalog/src/request.rs
@@ -43,7 +43,7 @@
 
 /// Data that the gateway sends to a runner in addition to the caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Forward {
+pub struct ForwardedHeaders {
     /// Name of the runner ([`Runner::name`](crate::Runner::name)).
     pub runner: Arc<str>,
     /// Time until the client's deadline; `None` for a request without a deadline.
--- a/crates/dispatch/src/candidates.rs
+++ b/crates/dispatch/src/candidates.rs
@@ -88,7 +88,7 @@
         if !entry.is_cold(now) {
             return true;
         }
-        let (id, bounds) = (&entry.runner.id, &self.site.cold);
+        let (id, bounds) = (&entry.runner.id, &self.site.cold_bounds);
         let interval = cold_pacing::request_interval(id, &self.name, &self.members, &spec, bounds);
         let interval_passed = |interval: Duration| {
             let since = |at| now.saturating_duration_since(at);
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -44,7 +44,7 @@
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
     /// How far the request rate at a cold runner (one that has just started) may exceed
     /// the rate configured for its service.
-    pub cold: ColdBounds,
+    pub cold_bounds: ColdBounds,
 }
 
 /// State of all requests of this node and of all runners that it knows.
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -74,7 +74,7 @@
 pub fn site() -> Site {
     Site {
         regions: BTreeMap::from([("zone".into(), "region".into())]),
-        cold: ColdBounds {
+        cold_bounds: ColdBounds {
             overage: 1.5,
             tolerance: 5.0,
         },
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use barleyspar_callers::Fingerprint;
-use barleyspar_catalog::{AnswerFacts, Forward, Runner};
+use barleyspar_catalog::{AnswerFacts, ForwardedHeaders, Runner};
 use barleyspar_dispatch::{Failure, Outcome};
 use barleyspar_domain::Verdict;
 use bytes::Bytes;
@@ -100,7 +100,7 @@
     context: &Context,
     permit: Permit,
     outgoing: &Outgoing,
-    forward: Forward,
+    forward: ForwardedHeaders,
     head_deadline: Instant,
 ) -> Result<Answered, AttemptError> {
     match send_and_read_head(context, &permit, outgoing, forward, head_deadline).await {
@@ -143,7 +143,7 @@
     context: &Context,
     permit: &Permit,
     outgoing: &Outgoing,
-    forward: Forward,
+    forward: ForwardedHeaders,
     head_deadline: Instant,
 ) -> Result<HeadParts, AttemptError> {
     let mut connection = connect(context, permit.runner(), head_deadline).await?;
@@ -252,7 +252,11 @@
 }
 
 /// Builds the request for one runner: `outgoing` with the headers that the gateway adds.
-fn build_request(context: &Context, outgoing: &Outgoing, forward: Forward) -> Request<Bytes> {
+fn build_request(
+    context: &Context,
+    outgoing: &Outgoing,
+    forward: ForwardedHeaders,
+) -> Request<Bytes> {
     let mut request = Request::new(outgoing.body.clone());
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.target.clone();
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -294,7 +294,7 @@
         tracing::info!(event = "evacuation", before = ?before.keys(), now = ?zones);
         self.context
             .dispatch
-            .set_evacuated(self.evacuated_zones.clone());
+            .set_evacuated_zones(self.evacuated_zones.clone());
         self.placement.set_evacuated(zones);
     }
 
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -229,7 +229,7 @@
     }
 
     /// Applies the list of models and adapters that a runner has loaded.
-    pub fn update_models(&self, inventory: Inventory) {
+    pub fn apply_inventory(&self, inventory: Inventory) {
         self.send(Command::ApplyInventory(inventory));
     }
 
@@ -306,7 +306,7 @@
 
     /// Sets the zones that operators evacuate. Until the time given for a zone, its
     /// runners still serve requests that no runner elsewhere can serve.
-    pub fn set_evacuated(&self, zones: BTreeMap<Arc<str>, Instant>) {
+    pub fn set_evacuated_zones(&self, zones: BTreeMap<Arc<str>, Instant>) {
         self.send(Command::SetEvacuatedZones(zones));
     }
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -6,7 +6,8 @@
 
 use barleyspar_callers::{Denial, Progress};
 use barleyspar_catalog::{
-    AllowedRegions, Forward, ModelReference, RequestFacts, RequestKind, Route, Runner, Tenant,
+    AllowedRegions, ForwardedHeaders, ModelReference, RequestFacts, RequestKind, Route, Runner,
+    Tenant,
 };
 use barleyspar_dispatch::{AttemptKind, Failure, Outcome, Query};
 use barleyspar_domain::Verdict;
@@ -300,8 +301,12 @@
 
     /// Returns the values that the gateway adds to the request's headers for `runner`.
     /// `last_event_id`: id of the last event sent to the client, if a stream is resumed.
-    pub fn added_header_values(&self, runner: &Runner, last_event_id: Option<String>) -> Forward {
-        Forward {
+    pub fn added_header_values(
+        &self,
+        runner: &Runner,
+        last_event_id: Option<String>,
+    ) -> ForwardedHeaders {
+        ForwardedHeaders {
             runner: runner.name.clone(),
             remaining: Some(self.remaining_time()),
             priority: self.has_engine.then_some(self.priority()),
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -61,7 +61,7 @@
     }
 
     /// Waits until `stage` or a later one is reached.
-    pub async fn reached(&self, stage: Stage) {
+    pub async fn wait_for_stage(&self, stage: Stage) {
         let mut receiver = self.stage.clone();
         if receiver.wait_for(|now| *now >= stage).await.is_err() {
             // Without a sender the stage never changes.
--- a/crates/gateway/src/lifecycle_tests.rs
+++ b/crates/gateway/src/lifecycle_tests.rs
@@ -9,7 +9,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_process_that_is_never_stopped_reaches_no_stage() {
     let lifecycle = Lifecycle::never_stopped();
-    let reached = lifecycle.reached(Stage::Closing);
+    let reached = lifecycle.wait_for_stage(Stage::Closing);
     let waited = tokio::time::timeout(Duration::from_secs(60), reached).await;
     assert!(waited.is_err());
 }
@@ -18,6 +18,6 @@
 async fn a_later_stage_counts_as_reached() {
     let (stage, lifecycle) = Lifecycle::running();
     stage.send_replace(Stage::Closing);
-    lifecycle.reached(Stage::Draining).await;
+    lifecycle.wait_for_stage(Stage::Draining).await;
     assert_eq!(lifecycle.stage(), Stage::Closing);
 }
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -96,7 +96,7 @@
     tokio::pin!(connection);
     tokio::select! {
         result = connection.as_mut() => return log_end(result),
-        () = lifecycle.reached(Stage::Closing) => connection.as_mut().graceful_shutdown(),
+        () = lifecycle.wait_for_stage(Stage::Closing) => connection.as_mut().graceful_shutdown(),
     }
     log_end(connection.await);
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -33,7 +33,7 @@
         /// The sender's attempts in flight, by runner.
         in_flight: Vec<(RunnerKey, u32)>,
         /// Updates on runners and requests that the sender passes on.
-        news: ClusterUpdates,
+        updates: ClusterUpdates,
     },
     /// Attempts in flight of all nodes that send their load to one relay, sent by it to the
     /// other relays.
@@ -43,7 +43,7 @@
         /// Sum over the nodes that send their load to the relay.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
-        news: ClusterUpdates,
+        updates: ClusterUpdates,
     },
     /// Attempts in flight of all nodes, sent by a relay to its nodes.
     Fleet {
@@ -52,7 +52,7 @@
         /// Sum over the nodes of all relays.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
-        news: ClusterUpdates,
+        updates: ClusterUpdates,
     },
     /// One node's demand for models, sent to the placement leader.
     Demand {
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -200,7 +200,7 @@
         retry_budget(&settings),
         Site {
             regions: settings.regions.clone(),
-            cold: settings.bounds.cold,
+            cold_bounds: settings.bounds.cold,
         },
         now,
     );
--- a/crates/gateway/src/peers/relaying.rs
+++ b/crates/gateway/src/peers/relaying.rs
@@ -128,7 +128,7 @@
         let message = Message::RelaySum {
             relay,
             sum,
-            news: updates.clone(),
+            updates: updates.clone(),
         };
         self.send_to(&message, others.iter()).await;
         let mut sum = self.relay.fleet_sum(now);
@@ -143,7 +143,7 @@
         let message = Message::Fleet {
             relay: name,
             sum,
-            news: updates,
+            updates,
         };
         let nodes: Vec<Arc<str>> = self.relay.nodes().cloned().collect();
         self.send_to(&message, nodes.iter()).await;
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -161,17 +161,25 @@
                 node,
                 record,
                 in_flight,
-                news,
+                updates,
             }) => {
-                self.apply_updates(news);
+                self.apply_updates(updates);
                 self.receive_load(node, record, in_flight);
             }
-            Some(Message::RelaySum { relay, sum, news }) => {
-                self.apply_updates(news);
+            Some(Message::RelaySum {
+                relay,
+                sum,
+                updates,
+            }) => {
+                self.apply_updates(updates);
                 self.receive_relay_sum(relay, sum);
             }
-            Some(Message::Fleet { relay, sum, news }) => {
-                self.apply_updates(news);
+            Some(Message::Fleet {
+                relay,
+                sum,
+                updates,
+            }) => {
+                self.apply_updates(updates);
                 self.receive_fleet_load(&relay, sum);
             }
             Some(Message::Demand {
@@ -187,7 +195,7 @@
                     self.forward_inventories(inventories.clone()).await;
                 }
                 for inventory in inventories {
-                    self.context.dispatch.update_models(inventory);
+                    self.context.dispatch.apply_inventory(inventory);
                 }
             }
             Some(Message::QuotaRequest(request)) => self.context.quota.handle_peer_request(request),
@@ -358,7 +366,7 @@
             node: self.context.settings.name.clone(),
             record: self.own_record.clone(),
             in_flight,
-            news: updates,
+            updates,
         };
         self.send_to(&message, to.iter()).await;
     }
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -72,7 +72,7 @@
         let lease_sender = self.lease.clone();
         let store = self.store.clone();
         tokio::select! {
-            () = lifecycle.reached(Stage::Draining) => {}
+            () = lifecycle.wait_for_stage(Stage::Draining) => {}
             () = self.compete_for_lease() => {}
         }
         if let Some(lease) = lease_sender.send_replace(None) {
@@ -251,11 +251,11 @@
     /// leads. A lease that expired by this node's clock, or was acquired in an earlier
     /// era of the store, stays unused until a renewal confirms it.
     async fn hold(&self, mut lease: Lease) {
-        tracing::info!(event = "lease_taken", token = lease.token);
+        tracing::info!(event = "lease_taken", token = lease.fencing_token);
         self.lease.send_replace(Some(lease));
         let mut era_watch = self.store.watch_era();
         let acquired_era = era_watch.borrow_and_update().number;
-        let mut leader_watch = LeaderWatch::new(self.leader.clone(), lease.token);
+        let mut leader_watch = LeaderWatch::new(self.leader.clone(), lease.fencing_token);
         loop {
             tokio::select! {
                 () = leader_watch.until_replaced() => break,
@@ -271,14 +271,14 @@
                     lease.extend(sent_at, time_to_live);
                     let current_era = era_watch.borrow().number;
                     let is_held = current_era == acquired_era
-                        || self.is_shown_as_leader(current_era, lease.token);
+                        || self.is_shown_as_leader(current_era, lease.fencing_token);
                     self.lease.send_replace(is_held.then_some(lease));
                 }
                 Err(StoreError::LeaseGone) => break,
                 _ => {}
             }
         }
-        tracing::info!(event = "lease_lost", token = lease.token);
+        tracing::info!(event = "lease_lost", token = lease.fencing_token);
         self.lease.send_replace(None);
     }
 
--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -93,7 +93,7 @@
         let now = Instant::now().into_std();
         lease
             .borrow()
-            .is_some_and(|lease| lease.token == token && lease.may_order(now))
+            .is_some_and(|lease| lease.fencing_token == token && lease.may_order(now))
     };
     let answer = call(&context, &runner, "order", request, is_allowed)
         .await
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -184,7 +184,10 @@
 
     /// Starts or stops leading when the lease was acquired or lost.
     fn follow_lease(&mut self) {
-        let token = self.lease.borrow_and_update().map(|lease| lease.token);
+        let token = self
+            .lease
+            .borrow_and_update()
+            .map(|lease| lease.fencing_token);
         if token == self.leading_token {
             return;
         }
@@ -259,7 +262,9 @@
     /// other nodes.
     fn publish_runner(&mut self, runner: &Arc<str>) {
         if let Some(entry) = self.runners.get(runner) {
-            self.context.dispatch.update_models(inventory(&entry.view));
+            self.context
+                .dispatch
+                .apply_inventory(inventory(&entry.view));
             self.unpublished.insert(runner.clone());
         }
     }
@@ -278,7 +283,8 @@
 
     fn plan_orders(&mut self) {
         let lease = *self.lease.borrow();
-        let may_order = |lease: &Lease| lease.may_order(now()) && lease.token > self.fenced_token;
+        let may_order =
+            |lease: &Lease| lease.may_order(now()) && lease.fencing_token > self.fenced_token;
         let Some(lease) = lease.filter(may_order) else {
             return;
         };
@@ -296,7 +302,7 @@
             .plan(&self.configuration, &mut views, &mut self.demand, now());
         self.runners.request_reports(self.planner.reports_needed());
         for order in orders {
-            self.send_order(order, lease.token);
+            self.send_order(order, lease.fencing_token);
         }
         if self
             .summary_logged_at
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -142,7 +142,7 @@
         acquired = acquire(exchange, query) => acquired,
         // A stream that starts now would not end before the process does; another node
         // can serve it.
-        () = lifecycle.reached(Stage::Closing), if is_stream => None,
+        () = lifecycle.wait_for_stage(Stage::Closing), if is_stream => None,
     };
     let permit = match acquired {
         Some(Ok(permit)) => permit,
--- a/crates/loading/src/lease.rs
+++ b/crates/loading/src/lease.rs
@@ -23,7 +23,7 @@
     /// Id of the lease in the store.
     pub id: u64,
     /// Fencing token: the store's revision at which the lease was taken.
-    pub token: u64,
+    pub fencing_token: u64,
     quiet_from: Instant,
     valid_until: Instant,
     settings: LeaseSettings,
@@ -42,7 +42,7 @@
     ) -> Self {
         Self {
             id,
-            token,
+            fencing_token: token,
             quiet_from,
             valid_until: certain_end(sent_at, time_to_live, settings),
             settings,
--- a/crates/standin/src/dialect.rs
+++ b/crates/standin/src/dialect.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{
-    AnswerFacts, Configuration, Credential, Dialect, DialectError, Forward, HeaderOwner,
+    AnswerFacts, Configuration, Credential, Dialect, DialectError, ForwardedHeaders, HeaderOwner,
     ModelReference, Order, OrderAnswer, Report, RequestFacts, Runner, RunnerLimit, RunnerSignals,
     StoreAnswer, StoreCall, StoreError, StoredObject,
 };
@@ -138,7 +138,7 @@
         }
     }
 
-    fn added_headers(&self, forward: &Forward) -> HeaderMap {
+    fn added_headers(&self, forward: &ForwardedHeaders) -> HeaderMap {
         let mut headers = HeaderMap::new();
         set_header(&mut headers, names::RUNNER, &forward.runner);
         if let Some(remaining) = forward.remaining {
