--- a/crates/loading/src/decisions.rs
+++ b/crates/loading/src/decisions.rs
@@ -57,14 +57,15 @@
 
 /// State of one service, from which the policy's input for each of its models is made.
 pub struct PolicyQuery<'a> {
-    /// Name of the service.
+    /// Name of the service whose models the policy decides about.
     pub service: &'a Arc<str>,
     /// Capacity of the service's runners; the policy sees the number of slots.
     pub engine: &'a EngineSpec,
     /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that arrived while it had no reachable replica, plus the seconds
-    /// that requests waited for it then.
+    /// Unserved requests of each model that has no reachable replica: one for each
+    /// request at its arrival, and one more for each second that a request waits, so that
+    /// the value of a load grows with the wait.
     pub unserved: &'a BTreeMap<Arc<str>, f64>,
     /// All runners, those of other services included.
     pub runners: &'a [RunnerView],
--- a/crates/loading/src/lease.rs
+++ b/crates/loading/src/lease.rs
@@ -20,7 +20,7 @@
 /// A lease held by this node.
 #[derive(Debug, Clone, Copy)]
 pub struct Lease {
-    /// Id of the lease in the store.
+    /// Id that the store gave the lease, by which calls to the store renew or end it.
     pub id: u64,
     /// Fencing token: the store's revision at which the lease was taken.
     pub token: u64,
--- a/crates/loading/src/models.rs
+++ b/crates/loading/src/models.rs
@@ -40,8 +40,9 @@
     pub engine: &'a EngineSpec,
     /// Demand of the whole cluster, by model.
     pub demand: &'a BTreeMap<Arc<str>, ModelDemand>,
-    /// Requests by model that arrived while it had no reachable replica, plus the seconds
-    /// that requests waited for it then.
+    /// Unserved requests of each model that has no reachable replica: one for each
+    /// request at its arrival, and one more for each second that a request waits, so that
+    /// the value of a load grows with the wait.
     pub unserved: &'a BTreeMap<Arc<str>, f64>,
     /// Replica counts and zones that the policy decided, by model.
     pub decisions: &'a BTreeMap<Arc<str>, ReplicaDecision>,
@@ -56,7 +57,7 @@
 /// A replica that may be evicted from a runner to free memory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvictionCandidate {
-    /// Model of the replica.
+    /// Name of the model that the runner would unload.
     pub model: Arc<str>,
     /// Value lost by the eviction, in weighted requests.
     pub loss: f64,
@@ -94,8 +95,9 @@
     /// Returns whether `model` needs one more replica and the policy allows it.
     pub fn lacks_replica(&self, counts: &ReplicaCounts, model: &str) -> bool {
         let replicas = counts.for_model(model);
-        // Limits growth to double the loaded replicas, since a burst may be cleared by
-        // the first of them.
+        // While replicas are being loaded, a model gets at most `INITIAL_REPLICAS` more
+        // than twice its loaded ones: if many requests arrive at once, the first new
+        // replicas may serve them all, and no further ones are needed.
         let growth = 2 * replicas.loaded + INITIAL_REPLICAS;
         replicas.reachable < self.needed_replicas(model).min(growth)
             && replicas.total < self.replica_limit(model)
--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -22,7 +22,8 @@
 /// Requests per second above which an adapter counts as in use.
 const ADAPTER_IN_USE_RATE: f64 = 0.02;
 
-/// Number of unserved requests that a waiting request adds to its model per second.
+/// Unserved requests that a waiting request adds to the count of its model for each
+/// second that it waits.
 const WAITING_WEIGHT_PER_SECOND: f64 = 1.0;
 
 /// Configuration of a planner, fixed when it is created.
@@ -57,8 +58,9 @@
 struct ServiceState {
     load_rate: LoadRateLimiter,
     store_loads: StoreConcurrency,
-    /// Requests that arrived for models while they had no reachable replica, plus the
-    /// seconds that requests waited for them then, by model.
+    /// Unserved requests of each model that has no reachable replica: one for each
+    /// request at its arrival, and one more for each second that a request waits, so that
+    /// the value of a load grows with the wait.
     unserved: BTreeMap<Arc<str>, f64>,
 }
 
@@ -74,7 +76,8 @@
     /// When this node created or last reset the state that depends on orders: other nodes
     /// may have given orders until then.
     reset_at: Instant,
-    /// Time of the latest planning step.
+    /// Time of the latest planning step, from which the next one counts unserved
+    /// requests.
     planned_at: Instant,
     summaries: Vec<StepSummary>,
     /// Runners whose unread reports kept the latest step from ordering them.
@@ -212,9 +215,10 @@
             })
     }
 
-    /// Adds the requests since the last step, and the time that requests waited, to the
-    /// count of each model that has no reachable replica, and drops the count of each
-    /// model that has one.
+    /// Updates the unserved requests of each model without a reachable replica: adds the
+    /// requests that arrived since the last step, and [`WAITING_WEIGHT_PER_SECOND`] for
+    /// each second that a request waited. Drops the count of each model that has a reachable
+    /// replica.
     fn count_unserved(
         &self,
         service: &Arc<str>,
--- a/crates/loading/src/summary.rs
+++ b/crates/loading/src/summary.rs
@@ -11,7 +11,7 @@
 /// gave.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StepSummary {
-    /// Name of the service.
+    /// Name of the service to which all numbers of the summary refer.
     pub service: Arc<str>,
     /// Number of models that needed one more replica.
     pub lacking: usize,
@@ -30,14 +30,15 @@
 /// Demand and replicas of the model with the most waiting requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MostWanted {
-    /// Name of the model.
+    /// Name of the model that has the most waiting requests.
     pub model: Arc<str>,
     /// Requests at all nodes that wait for the model, or that were refused and are
     /// expected to be retried.
     pub waiting: u32,
     /// Requests for the model that runners are processing.
     pub in_flight: u32,
-    /// Replicas on runners that answer, including those being loaded.
+    /// Replicas, including those being loaded, on runners that answer, have capacity left
+    /// under their rate limit for the model, and are not in an evacuated zone.
     pub replicas: usize,
     /// Number of replicas that the model should have by policy and demand.
     pub needed: usize,
--- a/crates/loading/src/switches.rs
+++ b/crates/loading/src/switches.rs
@@ -9,7 +9,7 @@
 /// settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Requests of higher priority have more weight.
+    /// Requests of higher priority have more weight in the value of a replica.
     Ranks,
     /// Requests that arrive while a model has no replica add to the value of loading it.
     Starvation,
@@ -59,7 +59,8 @@
 }
 
 impl Switches {
-    /// Returns whether `mechanism` is in use.
+    /// Returns whether the planner applies `mechanism`: it does unless the settings
+    /// switch it off.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -31,11 +31,11 @@
 /// A model runner with the content of its latest report and the order in progress.
 #[derive(Debug, Clone)]
 pub struct RunnerView {
-    /// Id of the runner.
+    /// Id of the runner's incarnation, from its discovery entry; a restart changes it.
     pub id: Arc<str>,
     /// Name of the service that the runner belongs to.
     pub service: Arc<str>,
-    /// Zone of the runner.
+    /// Zone in which the runner is placed, by which policies permit replicas on it.
     pub zone: Arc<str>,
     /// Whether the runner accepts new work: neither its discovery entry nor its own
     /// signals say that it is draining.
