--- a/crates/domain/src/name.rs
+++ b/crates/domain/src/name.rs
@@ -13,7 +13,7 @@
 /// Reason why a string is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NameError {
-    /// The string is empty.
+    /// The string has no characters; a name has at least one.
     #[error("name is empty")]
     Empty,
     /// The string is longer than `MAXIMUM_NAME_LENGTH` (128) bytes.
--- a/crates/domain/src/runner.rs
+++ b/crates/domain/src/runner.rs
@@ -47,7 +47,7 @@
     pub zone: ZoneName,
     /// Address on which the runner takes HTTP requests.
     pub address: SocketAddr,
-    /// Current incarnation of the runner.
+    /// Incarnation of the runner when the entry was written; each restart changes it.
     pub incarnation: Incarnation,
     /// Whether the runner may be given new work.
     pub state: RunnerState,
--- a/crates/domain/src/spec.rs
+++ b/crates/domain/src/spec.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Unique name of the service.
+    /// Unique name of the service, by which models refer to it.
     pub name: ServiceName,
-    /// Type of the service's runners.
+    /// Type of the service's runners, which determines whether models are loaded on them.
     pub kind: ServiceKind,
     /// For plain services: path prefixes of requests that may run more than once, with
     /// any method. `GET`, `HEAD` and `OPTIONS` requests may always run more than once.
@@ -31,7 +31,7 @@
     pub repeatable_paths: Vec<String>,
 }
 
-/// Specification of a model.
+/// Specification of a model: its service, its weights and the policy for its replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
@@ -76,7 +76,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpec {
-    /// Unique name of the customer.
+    /// Unique name of the customer, by which policies list who may request a model.
     pub name: CustomerName,
     /// SHA-256 digest of the customer's bearer token, in lower-case hexadecimal.
     pub token_sha256: String,
@@ -174,7 +174,8 @@
 }
 
 impl ObjectSpec {
-    /// Returns the key that identifies the object.
+    /// Returns the object's kind and name, under which the control log stores it and by
+    /// which other objects refer to it.
     pub fn key(&self) -> ObjectKey {
         let (kind, name) = match self {
             Self::Service(spec) => (ObjectKind::Service, spec.name.as_str()),
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -37,8 +37,9 @@
     pub waiting: u32,
     /// Priority of the most urgent recent request for the model; 0 is the most urgent.
     pub priority: u8,
-    /// Requests that arrived for the model since it last had a reachable replica, plus
-    /// the seconds that requests have waited for it since then; 0 while it has one.
+    /// Unserved requests of the model since it last had a reachable replica: one for each
+    /// request at its arrival, and one more for each second that a request waits; 0 while
+    /// it has a reachable replica.
     pub starved: f64,
     /// Number of requests that one runner processes at once.
     pub slots: u32,
