--- a/crates/catalog/src/answer.rs
+++ b/crates/catalog/src/answer.rs
@@ -18,7 +18,8 @@
     /// Time after which the runner closes an idle connection, in seconds; `None` if the
     /// answer does not state it.
     pub keep_alive_seconds: Option<u64>,
-    /// Whether the body is an event stream.
+    /// Whether the body is a stream of server-sent events, which the gateway relays event
+    /// by event.
     pub event_stream: bool,
     /// Whether the body has a content encoding, which a valid answer of a runner never has.
     pub encoded: bool,
--- a/crates/catalog/src/configuration.rs
+++ b/crates/catalog/src/configuration.rs
@@ -58,9 +58,10 @@
     pub kind: RequestKind,
     /// Maximum time to serve a client's request; `None` if the route sets none.
     pub timeout: Option<Duration>,
-    /// Target for the time until the answer, or until a stream's first event.
+    /// Target for the time until the answer, or until a stream's first event; `None` if
+    /// the route sets none.
     pub target_latency: Option<Duration>,
-    /// Target for the time between two events of a stream.
+    /// Target for the time between two events of a stream; `None` if the route sets none.
     pub target_gap: Option<Duration>,
     /// Time after which clients abandon a stream without events; `None` for routes that do
     /// not stream.
@@ -95,7 +96,7 @@
 /// A service: a set of interchangeable runners.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Service {
-    /// Unique name of the service.
+    /// Unique name of the service, by which routes and runners refer to it.
     pub name: Arc<str>,
     /// Maximum number of connections to one runner, from all nodes together.
     pub connection_limit: u32,
--- a/crates/catalog/src/dialect.rs
+++ b/crates/catalog/src/dialect.rs
@@ -24,7 +24,8 @@
 /// An object that the platform or its operators have written to the store.
 #[derive(Debug)]
 pub enum StoredObject {
-    /// The operators' configuration.
+    /// A complete version of the operators' configuration, which replaces the previous
+    /// one.
     Configuration(Box<Configuration>),
     /// The entry by which a runner announces itself.
     Runner(Box<Runner>),
--- a/crates/catalog/src/order.rs
+++ b/crates/catalog/src/order.rs
@@ -10,26 +10,27 @@
 pub enum OrderAction {
     /// Load the weights of a model.
     LoadModel {
-        /// Name of the model to load.
+        /// Name of the model to load, as its service lists it
+        /// ([`EngineSpec::models`](crate::EngineSpec::models)).
         model: Arc<str>,
     },
     /// Unload a model with its adapters.
     UnloadModel {
-        /// Name of the model to unload.
+        /// Name of the model to unload, as the runner reports it.
         model: Arc<str>,
     },
     /// Load an adapter of a model that is already loaded.
     LoadAdapter {
         /// Name of the adapter's model.
         model: Arc<str>,
-        /// Name of the adapter to load.
+        /// Name of the adapter to load, as callers ask for it.
         adapter: Arc<str>,
     },
     /// Unload an adapter; its model stays loaded.
     UnloadAdapter {
         /// Name of the adapter's model.
         model: Arc<str>,
-        /// Name of the adapter to unload.
+        /// Name of the adapter to unload, as the runner reports it.
         adapter: Arc<str>,
     },
 }
--- a/crates/catalog/src/routes.rs
+++ b/crates/catalog/src/routes.rs
@@ -16,7 +16,8 @@
 }
 
 impl RouteTable {
-    /// Builds the table for `configuration`.
+    /// Builds the table. Of several routes with the same host and path prefix, the last
+    /// one in the configuration counts.
     pub fn new(configuration: Arc<Configuration>) -> Self {
         let mut hosts: HashMap<String, HashMap<Arc<str>, Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
--- a/crates/catalog/src/runner.rs
+++ b/crates/catalog/src/runner.rs
@@ -19,7 +19,7 @@
 pub struct LoadedModel {
     /// Name of the model, as the runner reports it.
     pub model: Arc<str>,
-    /// Version of the loaded weights.
+    /// Version of the loaded weights, as the runner reports it.
     pub version: u64,
     /// Names of the model's adapters that are loaded.
     pub adapters: Vec<Arc<str>>,
--- a/crates/catalog/src/settings.rs
+++ b/crates/catalog/src/settings.rs
@@ -10,7 +10,8 @@
 pub struct NodeSettings {
     /// Name of the node, unique among all nodes.
     pub name: Arc<str>,
-    /// Name of the node's zone.
+    /// Name of the zone in which the node runs; the node prefers runners of the same
+    /// zone.
     pub zone: Arc<str>,
     /// Region of each zone of the site.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
@@ -22,7 +23,7 @@
     pub peer_address: SocketAddr,
     /// Address on which the node serves metrics; `None` to serve none.
     pub metrics_address: Option<SocketAddr>,
-    /// Address of the key-value store.
+    /// Address on which the platform's key-value store accepts the node's calls.
     pub store_address: SocketAddr,
     /// Minimum time to live of a lease that the store grants.
     pub minimum_lease: Duration,
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -26,7 +26,7 @@
     Written(Item),
     /// The key was removed.
     Removed {
-        /// Key that was removed.
+        /// Key that the store removed, by a transaction or at the end of the key's lease.
         key: String,
         /// Revision of the removal.
         revision: Revision,
@@ -38,7 +38,7 @@
 pub struct Write {
     /// Key to create or replace.
     pub key: String,
-    /// New value of the key.
+    /// Value that the key gets, which the store does not interpret.
     pub value: Bytes,
     /// Id of the lease at whose end the store removes the key; 0 for none.
     pub lease: u64,
@@ -138,7 +138,8 @@
     Conflict,
     /// Answer to [`StoreCall::GrantLease`]: the lease was granted.
     Lease {
-        /// Id of the new lease.
+        /// Id that the store gave the new lease, by which later calls and writes refer to
+        /// it.
         lease: u64,
         /// Time until the lease ends unless it is renewed, as granted.
         time_to_live: Duration,
--- a/crates/catalog/src/tenants.rs
+++ b/crates/catalog/src/tenants.rs
@@ -45,7 +45,7 @@
 /// rate and burst.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Unit of the limit.
+    /// Whether the quota counts requests or the tokens that they name.
     pub unit: QuotaUnit,
     /// Sustained rate, in units per second.
     pub per_second: f64,
@@ -79,7 +79,7 @@
 }
 
 impl TenantTable {
-    /// Builds the index for `configuration`.
+    /// Builds the index, and collects the pairs of tenants that list the same credential.
     pub(crate) fn new(configuration: &Configuration) -> Self {
         let mut table = Self::default();
         for tenant in &configuration.tenants {
