--- a/crates/callers/src/messages.rs
+++ b/crates/callers/src/messages.rs
@@ -38,7 +38,8 @@
 pub struct QuotaRequest {
     /// Number of the question, unique within the asking node; the answer refers to it.
     pub number: u64,
-    /// Name of the asking node.
+    /// Name of the asking node; the owner computes the node's reserve from its past
+    /// requests.
     pub node: Arc<str>,
     /// The party against whose limit the units count.
     pub subject: Subject,
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -51,7 +51,7 @@
 /// Exponentially decaying sum of the units that nodes asked for.
 #[derive(Debug, Clone, Copy)]
 struct DecayingUnits {
-    /// Sum at `updated_at`.
+    /// Sum of the units, each decayed by the time from its request to `updated_at`.
     units: f64,
     updated_at: Instant,
 }
@@ -80,7 +80,8 @@
 const REQUEST_KEPT_FOR: Duration =
     Duration::from_secs((TOLERATED_WEIGHT * SECONDS_PER_FORGIVEN_UNIT) as u64);
 
-/// The count of one subject's use of its limit.
+/// The limit owner's record of one subject: how many units of its limit may still be
+/// granted, and which nodes asked for units.
 #[derive(Debug)]
 struct Account {
     bucket: TokenBucket,
@@ -89,9 +90,10 @@
     /// Time at which this owner last learned that a node had asked another owner, or the
     /// account's start. The bucket counts all use since then.
     sole_owner_since: Instant,
-    /// Units that all nodes asked for.
+    /// Decaying sum of the units that all nodes asked for.
     total: DecayingUnits,
-    /// Units that each node asked for, by its name.
+    /// Decaying sum of the units that each node asked for, by the node's name. Nodes with
+    /// a negligible fraction of `total` are dropped.
     nodes: HashMap<Arc<str>, DecayingUnits>,
 }
 
--- a/crates/callers/src/quarantine.rs
+++ b/crates/callers/src/quarantine.rs
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    /// End of the quarantine.
+    /// Time from which the request may be sent to runners again.
     until: Instant,
     /// Time at which this node added the request or last extended its quarantine.
     added: Instant,
--- a/crates/callers/src/served.rs
+++ b/crates/callers/src/served.rs
@@ -25,7 +25,8 @@
 /// The most recent answer to a request.
 #[derive(Debug, Clone, Copy)]
 struct Answer {
-    /// Number of the answer, counted by [`RecentlyServed::answers`].
+    /// Value of [`RecentlyServed::answers`] when the answer was added: it differs from
+    /// the number in an older entry of [`RecentlyServed::order`] for the same request.
     number: u64,
     at: Instant,
 }
