--- a/crates/callers/src/crashes.rs
+++ b/crates/callers/src/crashes.rs
@@ -22,8 +22,8 @@
     /// The request asks for a stream whose head had not arrived; usually, it was waiting in
     /// the runner's queue.
     Queued,
-    /// As far as the node knows, the runner had started the request, and nothing of the
-    /// answer's body had arrived.
+    /// Nothing of the answer's body had arrived, but the runner had probably started the
+    /// request: a stream's head had arrived, or the request does not ask for a stream.
     Started,
     /// Part of the answer's body had arrived.
     Answering,
--- a/crates/callers/src/fingerprint.rs
+++ b/crates/callers/src/fingerprint.rs
@@ -13,7 +13,7 @@
 
 impl Fingerprint {
     /// Returns the fingerprint of a request with `body` to `host` for `target` (path and
-    /// query), under the credential `caller`; `None` for a request without a credential.
+    /// query) under the credential `caller`, which is `None` for a request without one.
     pub fn of(host: &str, target: &str, caller: Option<&Credential>, body: &[u8]) -> Self {
         Self(rendezvous_weight(&(host, target, caller), body))
     }
--- a/crates/callers/src/messages.rs
+++ b/crates/callers/src/messages.rs
@@ -67,7 +67,8 @@
     },
     /// The limit is reached; nothing is charged.
     Denied {
-        /// Time until the units would be granted if no others were, in milliseconds.
+        /// Time in milliseconds until the owner can grant these units, if it grants none to
+        /// other requests before.
         wait_ms: u32,
         /// Number of units that the node may use without asking while the owner does not
         /// answer.
--- a/crates/callers/src/owner.rs
+++ b/crates/callers/src/owner.rs
@@ -225,8 +225,8 @@
             Subject::Runner(_) | Subject::Request(_) => now,
         };
         let (bucket, limit) = match &request.subject {
-            // In a partition, each owner grants the whole limit: a fraction of the few
-            // tolerated crashes would tolerate none.
+            // Each owner grants the whole limit on crashes, also in a network partition: only
+            // few crashes are tolerated, and a fraction of them would be less than one crash.
             Subject::Request(_) => (TokenBucket::full(limit, now), limit),
             _ => (
                 TokenBucket::empty(started),
--- a/crates/callers/src/quarantine.rs
+++ b/crates/callers/src/quarantine.rs
@@ -12,11 +12,12 @@
 const MAXIMUM_ENTRIES: usize = 1024;
 /// Number of the most recently added requests that each message to other nodes contains.
 const NEWEST_PER_MESSAGE: usize = 8;
-/// Number of the other requests that each message contains, in rotation, so that a node that
-/// has just started receives all of them.
+/// Number of requests that each message to other nodes contains in addition to the most
+/// recently added ones. They change from message to message, so that a node that has just
+/// started receives the whole list.
 const OTHERS_PER_MESSAGE: usize = 8;
-/// Minimum time by which a new end of a quarantine must be after the known end to replace it. Nodes relay the updates that they receive, and each relay delays the end a
-/// little.
+/// Minimum time by which a new end of a quarantine must be after the known end to replace it.
+/// Nodes relay the updates that they receive, and each relay delays the end a little.
 const MINIMUM_EXTENSION: Duration = Duration::from_secs(30);
 
 /// Update on one quarantined request, which nodes broadcast to each other.
@@ -91,7 +92,7 @@
     }
 
     /// Returns the updates for the message to other nodes with the number `round`: the newest
-    /// quarantines, and others in rotation by `round`.
+    /// quarantines, and some of the older ones, in rotation by `round`.
     pub fn updates_for_round(&self, round: usize, now: Instant) -> Vec<QuarantineUpdate> {
         let mut entries: Vec<(Fingerprint, Entry)> = self
             .entries
--- a/crates/callers/tests/crashes.rs
+++ b/crates/callers/tests/crashes.rs
@@ -115,8 +115,9 @@
     assert!(owner.crashed(request(1), "r2", Progress::Started));
 }
 
-/// A minority owner grants only a fraction of other limits. A fraction of the few tolerated
-/// crashes would tolerate none.
+/// An owner that sees at most half of all nodes grants a quota or a runner's rate limit only
+/// in part. It grants the few tolerated crashes in full, since a fraction of them would be less
+/// than one crash.
 #[test]
 fn a_minority_owner_tolerates_as_many_crashes() {
     let mut owner = Owner::new(1, 6);
--- a/crates/catalog/src/configuration.rs
+++ b/crates/catalog/src/configuration.rs
@@ -39,9 +39,10 @@
 /// A service that receives a fraction of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Name of the service that receives this fraction.
+    /// Name of the service ([`Service::name`]) whose runners serve the backend's requests.
     pub service: Arc<str>,
-    /// Weight of this fraction relative to the weights of the route's other backends.
+    /// Weight of the backend. It receives this weight, divided by the sum of the weights of all
+    /// backends of the route, as its fraction of the requests.
     pub weight: u32,
 }
 
--- a/crates/catalog/src/runner.rs
+++ b/crates/catalog/src/runner.rs
@@ -51,7 +51,8 @@
     pub service: Arc<str>,
     /// Address on which the runner accepts connections.
     pub address: SocketAddr,
-    /// Name of the runner's zone.
+    /// Zone in which the runner runs, as its entry states. Nodes prefer runners of their own
+    /// zone.
     pub zone: Arc<str>,
     /// Number of requests that the runner processes concurrently.
     pub slots: u32,
--- a/crates/catalog/src/store.rs
+++ b/crates/catalog/src/store.rs
@@ -144,9 +144,11 @@
         /// Time until the lease ends unless it is renewed, as granted.
         time_to_live: Duration,
     },
-    /// Answer to [`StoreCall::RenewLease`]: the lease was renewed.
+    /// Answer to [`StoreCall::RenewLease`]: the lease ends later than it would have without
+    /// the call.
     Renewed {
-        /// Time until the lease ends, counted from the arrival of the call at the store.
+        /// Time until the lease ends unless it is renewed again, counted from the arrival of
+        /// the call at the store.
         time_to_live: Duration,
     },
     /// Answer to [`StoreCall::EndLease`]: the lease was ended.
@@ -172,7 +174,7 @@
     /// No answer arrived. The store may have executed the call or may execute it later.
     #[error("no answer from the store: {0}")]
     Unanswered(String),
-    /// The answer has this unexpected HTTP status.
+    /// The answer has an unexpected HTTP status, which is given here.
     #[error("the store answered with status {0}")]
     UnexpectedStatus(u16),
     /// The answer cannot be parsed, for the given reason.
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -23,7 +23,7 @@
     pub ratio: f64,
     /// Sliding window in which requests and retries are counted.
     pub window: Duration,
-    /// Retries allowed beyond `ratio`, summed over all nodes.
+    /// Retries that all nodes together may make in addition to `ratio` times the requests.
     pub extra: f64,
 }
 
@@ -32,14 +32,16 @@
 pub struct BudgetShare {
     /// Number of nodes that share the budget, this one included.
     pub nodes: usize,
-    /// Position of this node among them, from 0, in an order that all nodes agree on.
+    /// Position of this node among the nodes that share the budget, from 0, in an order that
+    /// all nodes agree on.
     pub position: usize,
 }
 
 impl BudgetShare {
-    /// Whether this node may make one retry per window even where its fraction is less.
-    /// Holds for all nodes as long as there are no more than `extra` of them; of more
-    /// nodes, for as many as the unused fraction of `extra` covers.
+    /// Whether this node may make one retry per window even if its equal fraction of the
+    /// budget is less than one retry. True at all nodes if at most `extra` nodes share the
+    /// budget. Among more nodes, true at the first ones by position: as many as the fraction
+    /// of `extra` that is otherwise unused (1 - [`USED_FRACTION`]) covers.
     fn has_whole_retry(self, extra: f64) -> bool {
         let covered = if self.nodes as f64 <= extra {
             extra
--- a/crates/dispatch/src/candidates.rs
+++ b/crates/dispatch/src/candidates.rs
@@ -20,9 +20,9 @@
         preferred_group(eligible, now)
     }
 
-    /// Returns the runners that could take `query` but for a missing permit to call them,
-    /// and for which a permit is to be requested: all of them if no other runner can take
-    /// the query, else only those whose advertised limit is stale.
+    /// Returns the runners for which a permit is to be requested. They could take `query` if
+    /// this node had a permit to call them. If no other runner can take the query, these are
+    /// all such runners, else only those whose advertised limit is stale.
     pub(crate) fn lacking_rate_permit(&self, query: &Query, now: Instant) -> Vec<Arc<str>> {
         if self.limited_runner_ids.is_empty() {
             return Vec::new();
--- a/crates/dispatch/src/cold_start.rs
+++ b/crates/dispatch/src/cold_start.rs
@@ -17,7 +17,7 @@
 const MAX_TRACKED_AGE: Duration = Duration::from_secs(30);
 /// Time for which the average duration of recent cold starts is used.
 const AVERAGE_LIFETIME: Duration = Duration::from_secs(15);
-/// Smallest estimate that is returned.
+/// Minimum of the estimated time until a cold start ends.
 const MIN_REMAINING: Duration = Duration::from_millis(400);
 /// Remaining time of a cold start that has taken longer than expected, as a fraction of
 /// its age.
--- a/crates/dispatch/src/draining.rs
+++ b/crates/dispatch/src/draining.rs
@@ -41,8 +41,8 @@
 #[derive(Debug, Clone, Copy)]
 struct DrainingSignal {
     at: Instant,
-    /// Whether the signal is the runner's entry in the store, which every node reads by
-    /// itself.
+    /// Whether the runner's entry in the store showed first that it is draining. Nodes send
+    /// each other no update about it, since every node reads the entry by itself.
     in_store: bool,
 }
 
@@ -86,7 +86,7 @@
 
 impl Dispatcher {
     /// Records that the runner's entry in the store shows it as draining. Returns whether
-    /// this is the first such signal.
+    /// the runner was not known to be draining before.
     pub(crate) fn record_draining_entry(&mut self, id: &Arc<str>, now: Instant) -> bool {
         let in_store = true;
         self.draining
@@ -94,7 +94,7 @@
     }
 
     /// Records that the runner `id` signalled at `at` that it is draining, and stops
-    /// using it. Returns whether this is the first such signal.
+    /// using it. Returns whether the runner was not known to be draining before.
     pub fn record_draining(&mut self, id: &Arc<str>, at: Instant, now: Instant) -> bool {
         let in_store = false;
         let is_first_signal = self
--- a/crates/dispatch/src/rate_limit.rs
+++ b/crates/dispatch/src/rate_limit.rs
@@ -20,7 +20,7 @@
     /// Limit that the runner's answer carried; `None` if the answer carried none, which
     /// ends an earlier limit.
     pub limit: Option<RunnerLimit>,
-    /// When the runner advertised this, by this node's clock.
+    /// Time of the runner's answer with this limit, or without one, by this node's clock.
     pub at: Instant,
 }
 
@@ -130,7 +130,8 @@
         self.permit.granted_until = None;
     }
 
-    /// Notes that a request needs a permit.
+    /// Notes that a request could be sent to the runner if this node had a permit, so that
+    /// [`Self::start_permit_request`] starts a request for one.
     pub fn want_permit(&mut self) {
         self.permit.wanted = true;
     }
--- a/crates/dispatch/src/runner.rs
+++ b/crates/dispatch/src/runner.rs
@@ -162,8 +162,9 @@
         self.observations_mut().rate_limit = Some(limit);
     }
 
-    /// Returns the flag that shows a granted attempt whether the runner still accepts new
-    /// work. Called only for runners that do now ([`Self::is_open`]).
+    /// Returns the flag by which the gateway checks, before it sends a granted attempt,
+    /// whether the runner still accepts new work. A new flag is true, so this is called only
+    /// while the runner accepts new work ([`Self::is_open`]).
     pub fn accepts_work_flag(&mut self) -> Arc<AtomicBool> {
         let new_flag = || Arc::new(AtomicBool::new(true));
         self.observations_mut()
--- a/crates/dispatch/src/selection.rs
+++ b/crates/dispatch/src/selection.rs
@@ -16,7 +16,8 @@
 const FAILURE_COST: f64 = 4.0;
 /// Cost of a runner that takes twice as long to respond as the fastest candidate.
 const SLOW_RESPONSE_COST: f64 = 0.15;
-/// Ratio of response times above which a runner costs no more.
+/// Maximum ratio of a runner's response time to the fastest candidate's that counts towards
+/// its cost: a still slower runner costs no more.
 const MAX_RESPONSE_RATIO: f64 = 8.0;
 /// Cost of a runner whose streams are twice as slow as the best candidate's, for each
 /// thousand tokens of the prompt: reading a long prompt there delays all its streams.
@@ -30,7 +31,8 @@
 /// nodes. All nodes have an equally stale view of each other's load, and would all choose
 /// the same runner without jitter.
 const JITTER_REQUESTS: f64 = 2.0;
-/// Number of other nodes from which the full jitter applies.
+/// Minimum number of other nodes at which the jitter reaches [`JITTER_REQUESTS`]; with fewer,
+/// it is proportionally smaller.
 const FULL_JITTER_NODES: f64 = 24.0;
 
 /// What the selection depends on besides the runners and the request.
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -8,15 +8,18 @@
 
 use barleyspar_catalog::Route;
 
-/// Weighted round-robin state: the credits of the backends of each route.
+/// Weighted round-robin state: a credit for each backend of each route with several backends.
+/// At each request of a route, the credit of each of its backends grows by the backend's
+/// weight. The backend with the highest credit gets the request, and its credit decreases by
+/// the sum of the weights.
 #[derive(Debug, Default)]
 pub struct Splitter {
     credits: HashMap<Arc<str>, Vec<(Arc<str>, i64)>>,
 }
 
 impl Splitter {
-    /// Returns the service that gets the next request on `route`. New backends of a route
-    /// start with equal credits.
+    /// Returns the service that gets the next request on `route`. If the list of the route's
+    /// services has changed, the credits of all its backends start at 0 again.
     pub fn pick(&mut self, route: &Route) -> Arc<str> {
         if let [only] = route.backends.as_slice() {
             return only.service.clone();
@@ -47,7 +50,8 @@
         richest.0.clone()
     }
 
-    /// Drops the credits of routes that are not in `routes`.
+    /// Drops the round-robin state of all routes except those in `routes`, the routes of the
+    /// current configuration.
     pub fn retain(&mut self, routes: &[Arc<Route>]) {
         let names: std::collections::HashSet<&Arc<str>> =
             routes.iter().map(|route| &route.name).collect();
--- a/crates/dispatch/tests/cold_runners.rs
+++ b/crates/dispatch/tests/cold_runners.rs
@@ -177,7 +177,8 @@
         };
         assert_eq!(&*grant.runner.zone, "other");
     }
-    // A runner that starts in the evacuated zone meanwhile gets nothing either.
+    // A runner that starts in the zone during the evacuation gets no requests either, even when
+    // no runner outside the zone is left.
     node.update_runner(holder("runner-3", "zone"), now);
     node.remove_runner("runner-2");
     let acquired = node.acquire(query(now, SECOND, 8 * SECOND), now);
--- a/crates/dispatch/tests/limits.rs
+++ b/crates/dispatch/tests/limits.rs
@@ -129,7 +129,7 @@
         assert_eq!(granted_runner(&mut dispatcher, now).as_deref(), Some("b"));
     }
     let now = now + SECOND;
-    // The other runner is full.
+    // Runner `b` is full, and the permit to call runner `a` has expired.
     assert_eq!(granted_runner(&mut dispatcher, now), None);
     assert_eq!(requested_permits(&mut dispatcher, now).len(), 1);
     dispatcher.apply_rate_permit_answer("a", RatePermitAnswer::Granted, now);
--- a/crates/domain/src/grant.rs
+++ b/crates/domain/src/grant.rs
@@ -17,7 +17,7 @@
 /// A runner that may hold a model, as listed in the model's grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// Name of the runner.
+    /// Name that the machine list gives the runner.
     pub runner: RunnerName,
     /// Incarnation of the runner at the time of the grant.
     pub incarnation: Incarnation,
--- a/crates/domain/src/runner.rs
+++ b/crates/domain/src/runner.rs
@@ -43,7 +43,8 @@
     pub service: ServiceName,
     /// Whether the runner is a model engine or an instance of a plain service.
     pub kind: RunnerKind,
-    /// The zone in which the runner is placed.
+    /// Zone of the runner, as the machine list states it. The node that keeps the runner is
+    /// chosen from this zone if any node of the zone takes work.
     pub zone: ZoneName,
     /// Address on which the runner takes HTTP requests.
     pub address: SocketAddr,
