--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -18,14 +18,16 @@
 use crate::restore_tracker::{Decision, RestoreTracker};
 use crate::tasks::sleep_until_some;
 
-/// Fraction of its bound within which an evacuation takes effect. The rest covers
-/// requests granted to a runner just before, connections (0.3 s) and links.
+/// Fraction of the site's `evacuation_time` within which an evacuation takes effect at
+/// this node. The rest covers requests granted to a runner just before, connections
+/// (0.3 s) and links.
 ///
 /// Models that are loaded only in the evacuated zone are served there until they are
-/// loaded elsewhere, for up to this time.
+/// loaded elsewhere, at most for this fraction of `evacuation_time`.
 const EVACUATION_FRACTION: f64 = 0.7;
 
-/// Receives changes from the feed and passes them on.
+/// Receives the store's changes from the feed and passes them to the dispatcher, the
+/// placement task, the peers task and the receivers of the routes and of the leader.
 pub struct Discovery {
     /// The node's settings, dispatcher, dialect and other shared state.
     pub context: Context,
@@ -44,7 +46,8 @@
     pub confirmed_at: watch::Sender<Option<Instant>>,
     /// Writes the configuration in force to the store if the store shows an older one.
     pub configuration_keeper: ConfigurationKeeper,
-    /// The store's item from which the configuration in force was read.
+    /// The store's item from which the configuration in force was read; `None` before
+    /// the first configuration.
     pub configuration_item: Option<Item>,
     /// The revision of the configuration kept under [`KEPT_CONFIGURATION_KEY`]; `None`
     /// if there is none.
@@ -300,8 +303,8 @@
 
     /// Returns the time until which runners of a zone, whose evacuation is read now,
     /// still serve models that are loaded nowhere else. The evacuation was requested
-    /// after the last time at which this node had missed no change, so its bound began
-    /// then at the earliest.
+    /// after the last time at which this node had missed no change, so the site's
+    /// `evacuation_time` began no earlier than that.
     fn evacuation_deadline(&self) -> Instant {
         let now = Instant::now();
         let bound = self.context.settings.bounds.evacuation_time;
@@ -319,7 +322,8 @@
         }
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the version of the configuration in force; `None` before the first
+    /// configuration.
     fn version_in_force(&self) -> Option<u64> {
         let routes = self.context.routes.borrow();
         routes.as_ref().map(|table| table.configuration().version)
--- a/crates/gateway/src/feed/copy.rs
+++ b/crates/gateway/src/feed/copy.rs
@@ -129,7 +129,8 @@
         for change in changes {
             self.publish(change).await;
         }
-        // Sent after the changes themselves: it confirms that there were no others.
+        // The confirmation follows the changes: up to `complete_at` there were no
+        // others.
         if confirmed {
             self.publish(Change::CompleteAt(complete_at)).await;
         }
--- a/crates/gateway/src/feed/follower.rs
+++ b/crates/gateway/src/feed/follower.rs
@@ -48,7 +48,8 @@
     /// This node's copy became stale while it followed the peer, or the peer sent no
     /// newer copy within its trial.
     Stale,
-    /// It could not be reached, the connection broke, or a frame could not be decoded.
+    /// The peer could not be reached, the connection broke, or a frame could not be
+    /// decoded.
     Broken,
 }
 
@@ -261,9 +262,9 @@
         self.abandoned.insert(name, AbandonedPeer { at, fault });
     }
 
-    /// Whether following `followed` has not been the choice for more than
-    /// [`PARENT_SWITCH_DELAY`]. `since` holds when that began; `None` while `followed`
-    /// is the choice.
+    /// Whether to stop following `followed`: for more than [`PARENT_SWITCH_DELAY`] the
+    /// choice has been another peer, or none. `since` holds the time when `followed`
+    /// ceased to be the choice; `None` while it is the choice.
     fn should_switch_parent(&mut self, followed: &str, since: &mut Option<Instant>) -> bool {
         let choice = self.choose();
         if matches!(choice, Choice::Follow(parent) if &*parent.name == followed) {
--- a/crates/gateway/src/feed/state.rs
+++ b/crates/gateway/src/feed/state.rs
@@ -38,7 +38,7 @@
 pub enum Change {
     /// The full state, read anew, and the store's era in which it was read.
     Everything(Vec<Item>, u32),
-    /// One change.
+    /// An item of the store was written or removed.
     Event(Event),
     /// All changes before this time have been sent.
     CompleteAt(Instant),
@@ -118,7 +118,8 @@
         self.revision
     }
 
-    /// Whether the copy has an item under `key`.
+    /// Whether the store has an item under `key`, as far as this copy shows; false for
+    /// every key while the copy is empty.
     pub fn has_key(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
--- a/crates/gateway/src/feed/task.rs
+++ b/crates/gateway/src/feed/task.rs
@@ -85,8 +85,8 @@
         let has_members = !items.is_empty();
         self.copy.publish_entries(items).await;
         if has_members {
-            // No change within that time means that all members were already in the
-            // list.
+            // No change within `MEMBERS_APPLY_TIME` means that all members were already
+            // in the list.
             let _ = timeout(MEMBERS_APPLY_TIME, self.seen_peers.changed()).await;
         }
     }
--- a/crates/gateway/src/feed/times.rs
+++ b/crates/gateway/src/feed/times.rs
@@ -7,24 +7,28 @@
 /// Time for which the store holds a poll, as a fraction of the site's shortest bound on
 /// applying a change.
 const POLL_FRACTION: f64 = 0.2;
-/// Pause after a poll that returned changes, as a fraction of the shortest bound.
+/// Pause after a poll that returned changes, as a fraction of the site's shortest bound
+/// on applying a change.
 const BATCH_FRACTION: f64 = 0.1;
-/// Maximum age of the watching node's copy, as a fraction of the shortest bound.
+/// Maximum age of the copy of the node that watches the store, as a fraction of the
+/// site's shortest bound on applying a change.
 const AGE_FRACTION: f64 = 0.55;
-/// Growth of the maximum age with each step from the watching node, as a fraction of the
-/// shortest bound.
+/// Growth of a copy's maximum age with each step from the node that watches the store,
+/// as a fraction of the site's shortest bound on applying a change.
 const STEP_FRACTION: f64 = 0.05;
-/// Time between two calls to an unresponsive store, as a fraction of the shortest
-/// bound. Once the store is back, it is called within this time, which leaves as much
-/// for its answer and for sending it to followers.
+/// Time between two calls to an unresponsive store, as a fraction of the site's
+/// shortest bound on applying a change. Once the store is back, it is called within
+/// this time, which leaves the other half of the bound for its answer and for sending
+/// it to followers.
 const CALL_FRACTION: f64 = 0.5;
 /// Time after which a store that does not answer counts as unreachable, as a fraction
-/// of the shortest bound. Most answers take a few milliseconds, those of a slow store a
-/// tenth of the bound.
+/// of the site's shortest bound on applying a change. Most answers take a few
+/// milliseconds, those of a slow store a tenth of the bound.
 const UNREACHABLE_FRACTION: f64 = 0.15;
-/// Time for which a peer is tried, as a fraction of the shortest bound. A peer with a
-/// newer copy sends it in its first frame, milliseconds after the hello; with this
-/// fraction one such peer out of eight is found within two bounds.
+/// Time for which a peer is tried while the store is unreachable, as a fraction of the
+/// site's shortest bound on applying a change. A peer with a newer copy sends it in its
+/// first frame, milliseconds after the hello; with this fraction one such peer out of
+/// eight is found within twice the bound.
 const TRIAL_FRACTION: f64 = 0.25;
 /// Maximum depth for which [`FeedTimes::max_age`] grows; deployments with more nodes
 /// than fit in a tree of this depth are not planned for.
@@ -48,12 +52,15 @@
     pub peer_trial: Duration,
     /// Maximum age of the copy of the node that watches the store.
     base_age: Duration,
-    /// Growth of the maximum age with each step from that node.
+    /// Growth of a copy's maximum age with each step from the node that watches the
+    /// store.
     age_per_step: Duration,
 }
 
 impl FeedTimes {
-    /// Derives the times from the shortest of the site's bounds on applying changes.
+    /// Derives the times from the site's shortest bound on applying a change:
+    /// `configuration_apply_time`, `drain_timeout` or, if there is one,
+    /// `evacuation_time`.
     pub fn new(bounds: &Bounds) -> Self {
         let bound = bounds.configuration_apply_time.min(bounds.drain_timeout);
         let bound = bounds.evacuation_time.map_or(bound, |time| bound.min(time));
--- a/crates/gateway/src/feed/tree.rs
+++ b/crates/gateway/src/feed/tree.rs
@@ -24,7 +24,7 @@
 /// A peer that accepts this node as a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parent {
-    /// The parent's name.
+    /// Name of the parent, as in the list of peers.
     pub name: Arc<str>,
     /// The address on which the parent accepts followers.
     pub address: SocketAddr,
@@ -33,11 +33,12 @@
 /// This node's attributes that determine its position in the order of all nodes.
 #[derive(Debug, Clone)]
 pub struct OwnNode {
-    /// This node's name.
+    /// This node's name; its hash decides among nodes with equally fast links.
     pub name: Arc<str>,
     /// Speed of this node's link in megabits per second.
     pub capacity: u32,
-    /// This node's zone.
+    /// Name of the zone in which this node runs. Its parent in the feed tree is of the
+    /// same zone if a seen node of that zone precedes this one.
     pub zone: Arc<str>,
 }
 
@@ -114,7 +115,7 @@
     })
 }
 
-/// Returns the first node of each zone among `peers`.
+/// Returns the peer of each zone that has the lowest [`OrderKey`] among `peers`.
 fn first_of_each_zone<'a>(
     peers: Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)>,
 ) -> Vec<(OrderKey, &'a Arc<str>, &'a SeenPeer)> {
--- a/crates/gateway/src/kept_configuration.rs
+++ b/crates/gateway/src/kept_configuration.rs
@@ -36,8 +36,8 @@
 }
 
 impl ConfigurationKeeper {
-    /// Resets the version that the store shows, before the items of a full read are
-    /// applied.
+    /// Sets `shown_version` to 0. Called before the items of a full read are applied,
+    /// since a store restored from a backup may lack the version that it showed before.
     pub fn reset_shown_version(&self) {
         self.shown_version.send_replace(0);
     }
--- a/crates/gateway/src/peers/members.rs
+++ b/crates/gateway/src/peers/members.rs
@@ -29,7 +29,8 @@
     pub address: SocketAddr,
     /// Speed of the node's link in megabits per second.
     pub capacity: u32,
-    /// The node's zone.
+    /// Name of the zone in which the node runs, from its settings. Nodes prefer a relay
+    /// of their own zone.
     pub zone: Arc<str>,
 }
 
@@ -50,7 +51,7 @@
 /// Short key of a node in messages: a hash of its name.
 pub type NodeKey = u32;
 
-/// Returns the key of the node with this name.
+/// Returns the hash by which messages name the node `name`.
 pub fn node_key(name: &str) -> NodeKey {
     rendezvous_weight("node", name) as NodeKey
 }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,9 +1,9 @@
 //! Messages between nodes: load, demand, and the models loaded on runners.
 //!
 //! Messages are datagrams. Load and demand are sent periodically, and each message
-//! supersedes the previous one, so losing some does no harm. Few nodes send to all
-//! others; many send to a relay ([`members`]), which sends the sum over all nodes back
-//! ([`relay`]).
+//! supersedes the previous one, so losing some does no harm. In a small cluster each
+//! node sends to all others; in a large one each sends its load to a relay
+//! ([`members`]), which sends back the sum of all nodes' loads ([`relay`]).
 
 mod members;
 mod relay;
@@ -83,7 +83,8 @@
     }
 
     fn send(&self, command: Command) {
-        // The task ends only with the process.
+        // Sending fails only once the peers task has ended, which happens only when the
+        // process ends.
         let _ = self.commands.send(command);
     }
 }
@@ -101,7 +102,9 @@
     pub address: SocketAddr,
     /// Speed of the peer's link in megabits per second.
     pub capacity: u32,
-    /// The peer's zone.
+    /// Name of the zone in which the peer runs, from the peer's own record. A node's
+    /// parent in the feed tree is of the same zone, except for the first node of each
+    /// zone.
     pub zone: Arc<str>,
 }
 
--- a/crates/gateway/src/peers/relay.rs
+++ b/crates/gateway/src/peers/relay.rs
@@ -1,5 +1,5 @@
-//! The sums that a relay computes, from the loads of the nodes that it serves and the
-//! sums of the other relays. A state machine without I/O.
+//! The sums of loads that a relay computes, from the loads of the nodes that it serves
+//! and the sums of the other relays. A state machine without I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 /// The time at which a node was last seen, as its relay passes it on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeSeen {
-    /// The key of the node.
+    /// Hash of the node's name, as [`node_key`] returns it.
     pub node: NodeKey,
     /// Milliseconds since the node's last message.
     pub age_ms: u16,
@@ -37,7 +37,8 @@
 pub struct LoadSum {
     /// Number of attempts in flight, by runner.
     pub in_flight: Vec<(RunnerKey, u32)>,
-    /// The nodes included in the sum; empty in some messages to save bytes.
+    /// The nodes whose attempts are counted in `in_flight`; empty in some messages to
+    /// save bytes.
     pub nodes: Vec<NodeSeen>,
 }
 
@@ -53,7 +54,8 @@
     sum: LoadSum,
 }
 
-/// The loads and sums that a node received as a relay; empty if it is none.
+/// What this node received as a relay: the loads of the nodes that it serves, and the
+/// sums of the other relays. Empty if this node is no relay.
 #[derive(Debug, Default)]
 pub struct RelayState {
     nodes: BTreeMap<Arc<str>, NodeLoad>,
@@ -75,7 +77,8 @@
         self.nodes.insert(node, load);
     }
 
-    /// Stores the sum of another relay; it replaces that relay's previous one.
+    /// Stores the load of the nodes that another relay serves; it replaces that relay's
+    /// previous sum.
     pub fn set_relay_sum(&mut self, relay: Arc<str>, sum: LoadSum, now: Instant) {
         self.relays.insert(
             relay,
@@ -101,8 +104,8 @@
         self.nodes.keys()
     }
 
-    /// Names of the other relays whose sums this relay received within
-    /// [`LOAD_TIMEOUT`].
+    /// Names of the other relays from which this relay received the load of their nodes
+    /// within [`LOAD_TIMEOUT`].
     pub fn relays(&self) -> impl Iterator<Item = &Arc<str>> {
         self.relays.keys()
     }
--- a/crates/gateway/src/peers/relaying.rs
+++ b/crates/gateway/src/peers/relaying.rs
@@ -22,7 +22,8 @@
 const FLEET_VALID_FOR: Duration = RELAY_INTERVAL.saturating_mul(2 * VALID_INTERVALS);
 
 impl PeerTask {
-    /// As a relay: stores the sum of another relay, for the fleet's load.
+    /// As a relay: stores `sum`, the load of the nodes that another relay serves, as
+    /// part of the fleet's load.
     pub(super) fn receive_relay_sum(&mut self, relay: Arc<str>, sum: LoadSum) {
         let now = Instant::now();
         let seen = self.seen_nodes(&sum, now);
@@ -105,8 +106,8 @@
         self.send_load_to(in_flight, updates, vec![name]).await;
     }
 
-    /// As a relay: sends the sum over this relay's nodes to the other relays, and the
-    /// sum over all nodes to this relay's nodes.
+    /// As a relay: sends the attempts in flight of this relay's nodes, added up by
+    /// runner, to the other relays, and those of all nodes to this relay's nodes.
     pub(super) async fn send_relay_sums(
         &mut self,
         relays: &[Arc<str>],
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -122,7 +122,7 @@
                 // A new leader has received no demand yet.
                 Ok(()) = leader.changed() => demand_due = true,
                 // Clients soon repeat a request that crashes runners, through other
-                // nodes too.
+                // nodes too, so these are notified without waiting for the next interval.
                 Ok(()) = quarantine.changed() => {
                     next_load = next_load.min(Instant::now() + QUARANTINE_DELAY);
                 }
--- a/crates/gateway/src/peers/times.rs
+++ b/crates/gateway/src/peers/times.rs
@@ -17,7 +17,7 @@
 /// dropped.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time without a message after which a peer may be gone, where all nodes send to all:
-/// three messages.
+/// long enough for three messages.
 const MESH_TIMEOUT: Duration = Duration::from_millis(1300);
 /// Time without a message after which a peer may be gone, where messages go through
 /// relays: the last-seen time of a peer is up to 0.75 s old, or 1.5 s if two messages
@@ -26,8 +26,8 @@
 /// Number of intervals for which a message is valid: the next one may be lost, and the
 /// one after it late.
 pub const VALID_INTERVALS: u32 = 3;
-/// One in this many messages from a relay to its nodes lists the nodes included in the
-/// sum.
+/// One in this many load messages from a relay to its nodes lists the nodes whose load
+/// it contains.
 pub const NODE_LIST_EVERY: u32 = 2;
 /// Time for which an unresponsive relay is not chosen again.
 pub const RELAY_AVOIDED_FOR: Duration = Duration::from_secs(2);
--- a/crates/gateway/src/placement/inventories.rs
+++ b/crates/gateway/src/placement/inventories.rs
@@ -66,7 +66,6 @@
     messages
 }
 
-/// Estimates the bytes that an inventory takes in a message.
 fn estimated_bytes(inventory: &Inventory) -> usize {
     let name_bytes = |name: &str| name.len() + NAME_BYTES;
     let models = inventory.models.iter().map(|replica| {
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -18,14 +18,15 @@
 use crate::store::Store;
 
 /// The lease's time to live where runners don't check fencing tokens, as a fraction of
-/// the time within which only one node may order a runner. A successor waits for the
-/// lease's end and then for that time.
+/// the site's `lease_duration`. Before its first order, a new leader waits for the end
+/// of the previous leader's lease and then for a whole `lease_duration`.
 const UNFENCED_TIME_TO_LIVE: f64 = 0.5;
-/// The lease's time to live where runners check fencing tokens, as a fraction of the
-/// same time. A leader then continues through most outages of the store, since an
-/// unresponsive one is replaced before its lease expires.
+/// The lease's time to live where runners check fencing tokens, as a multiple of the
+/// site's `lease_duration`. A lease this long lets the leader continue through most
+/// outages of the store, and delays no successor: an unresponsive leader is replaced
+/// before its lease expires.
 const FENCED_TIME_TO_LIVE: f64 = 2.0;
-/// Number of renewals within a time to live.
+/// Number of times that the lease is renewed within its time to live.
 const RENEWALS: u32 = 5;
 /// Time between two checks whether the leader is unresponsive, and between two renewals
 /// while it is unknown whether the lease is still held.
@@ -33,14 +34,15 @@
 /// Time without orders after the lease was acquired, where runners check fencing
 /// tokens.
 const FENCED_QUIET: Duration = Duration::from_millis(300);
-/// Safety margin subtracted from the lease's end.
+/// Time before the lease's end in which its holder gives no more orders, to cover clock
+/// drift and network delay.
 const MARGIN: Duration = Duration::from_millis(200);
 /// Delay before a started node competes for the lease: it first learns from the
 /// members' entries which machines are larger.
 const START_DELAY: Duration = Duration::from_millis(300);
-/// Maximum age of a vacancy that counts towards the time without orders, as a fraction
-/// of the time within which only one node may order a runner: nobody else can have
-/// acquired the lease and given orders within it.
+/// Maximum time for which nobody held the lease that counts towards a new leader's time
+/// without orders, as a fraction of the site's `lease_duration`. It is too short for
+/// another node to have acquired the lease and given orders.
 const VACANCY_FRACTION: f64 = 0.5;
 /// Timeout of one call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
@@ -218,7 +220,8 @@
         })
     }
 
-    /// Returns when the time without orders begins for a lease that is acquired now.
+    /// Returns the time from which on the quiet period of a lease that is acquired now
+    /// is counted.
     fn quiet_from(&self, vacant_since: Instant) -> Instant {
         let bounds = &self.context.settings.bounds;
         if bounds.fencing_enforced {
@@ -231,13 +234,14 @@
             return vacant_since;
         }
         // A store restored from a backup may have lost a lease. Its holder renewed it
-        // before the restore, so it ends at most one time to live after that.
+        // before the restore, so it ends at most one time to live after the restore.
         vacant_since.max(era.since + self.time_to_live())
     }
 
-    /// Returns how long no orders are given after the lease became vacant or, with
-    /// fencing, was acquired. Without fencing no other node may have given an order
-    /// within the lease duration.
+    /// Returns for how long a new leader gives no orders. Where runners check fencing
+    /// tokens, the time counts from when it acquired the lease. Elsewhere it counts
+    /// from when the lease became vacant: before the new leader's first order, no other
+    /// node may have given one within the site's `lease_duration`.
     fn quiet_period(&self) -> Duration {
         let bounds = &self.context.settings.bounds;
         if bounds.fencing_enforced {
@@ -293,8 +297,9 @@
         }
     }
 
-    /// Whether the store shows in `era` that the leader with `token` leads. A store
-    /// that lost a lease in a restore may have given its number to another one.
+    /// Whether the store shows in `era` that the leader with `token` leads. A renewal
+    /// alone does not prove this after a restore: the store may have lost the lease and
+    /// given its number to another one.
     fn is_shown_as_leader(&self, era: u32, token: u64) -> bool {
         let leader = self.leader.borrow();
         leader
@@ -307,7 +312,7 @@
 struct LeaderWatch {
     leader: watch::Receiver<Option<LeaderRecord>>,
     token: u64,
-    /// Whether the store has shown this leader before.
+    /// Whether the store has shown the leader with `token` at least once.
     was_shown: bool,
 }
 
@@ -320,8 +325,9 @@
         }
     }
 
-    /// Waits until the store shows a leader with a higher token or, after this leader
-    /// was shown, another one or none.
+    /// Waits until the leader with `token` is replaced: the store shows a leader with a
+    /// higher token or, once it has shown the leader with `token`, any other leader or
+    /// none.
     async fn until_replaced(&mut self) {
         loop {
             let token = self
@@ -335,7 +341,8 @@
                 return;
             }
             if self.leader.changed().await.is_err() {
-                // Discovery ends only with the process.
+                // The task that sends the leader has ended, which happens only when the
+                // process ends: nothing is left to wait for.
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -110,7 +110,8 @@
 
 impl PlacementHandle {
     fn send(&self, command: Command) {
-        // The task ends only with the process.
+        // Sending fails only once the placement task has ended, which happens only when
+        // the process ends.
         let _ = self.commands.send(command);
     }
 
--- a/crates/gateway/src/placement/order.rs
+++ b/crates/gateway/src/placement/order.rs
@@ -61,7 +61,7 @@
 /// The result of an order.
 #[derive(Debug)]
 pub struct OrderResult {
-    /// The id of the runner.
+    /// Id of the runner that the order is for.
     pub runner: Arc<str>,
     /// The order as it was to be sent, with its fencing token and expected sequence
     /// number.
@@ -73,7 +73,7 @@
 /// The result of reading a report.
 #[derive(Debug)]
 pub struct ReportResult {
-    /// The id of the runner.
+    /// Id of the runner whose report was requested.
     pub runner: Arc<str>,
     /// The runner's report, or why there is none.
     pub report: Result<Report, ReportError>,
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -32,17 +32,18 @@
 /// Delay between an order's expected end and the first read of a rate-limited runner's
 /// report: late enough that this report shows the order's result.
 const LIMITED_REPORT_LAG: Duration = Duration::from_millis(300);
-/// Minimum time between two steps of the task that shows that the process was frozen.
+/// Time between two steps of the leader's task above which the process counts as frozen
+/// in between.
 const FREEZE: Duration = Duration::from_millis(500);
 /// Time without orders after a freeze: if another node has become the leader meanwhile,
 /// this node learns of it.
 const NO_ORDERS_AFTER_FREEZE: Duration = Duration::from_millis(700);
-/// Minimum time between two publications of inventories, for each node of the fleet;
-/// changes within it are sent together.
+/// Minimum time between two publications of inventories, per node of the fleet; changes
+/// within this time are sent together.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(1);
-/// Maximum of the time between two publications of inventories, by which nodes learn of
-/// a replica later. Where relays forward the messages, the leader sends to few nodes,
-/// however large the fleet is.
+/// Upper limit of the minimum time between two publications of inventories, since nodes
+/// learn of a new replica that much later. Where relays forward the messages, the
+/// leader sends to few nodes, however large the fleet is.
 const MAX_PUBLISH_PAUSE: Duration = Duration::from_millis(40);
 /// Minimum time between two log lines on planning steps: one a second is enough to
 /// explain a cold start, and adds little to the lines on orders.
@@ -345,8 +346,8 @@
         );
         let (context, runner) = (self.context.clone(), entry.runner.clone());
         let (handle, lease) = (self.handle.clone(), self.lease.clone());
-        // Published before the answer, since requests wait for a model only once its
-        // load was ordered.
+        // The inventory is published before the runner answers the order, since
+        // requests wait for a model only once its load was ordered.
         self.publish_runner(&planned.runner);
         crate::tasks::spawn(async move {
             handle.send(Command::Ordered(
--- a/crates/gateway/src/placement/tracked_runner.rs
+++ b/crates/gateway/src/placement/tracked_runner.rs
@@ -26,7 +26,8 @@
     pub view: RunnerView,
     /// When the runner's report is read next; `None` if no read is due.
     pub report_at: Option<Instant>,
-    /// When the runner's report was last requested.
+    /// When the runner's report was last requested; before the first request, when the
+    /// leader began to track the runner.
     pub report_requested_at: Instant,
     /// Whether a read of the runner's report is in progress.
     pub report_in_progress: bool,
--- a/crates/gateway/src/register.rs
+++ b/crates/gateway/src/register.rs
@@ -72,8 +72,8 @@
     None
 }
 
-/// Renews the lease until the store reports its end, or has lost the entry in a
-/// restore.
+/// Renews the lease until the store reports the lease's end or, restored from a backup,
+/// lacks the entry under `key`.
 async fn keep_renewed(store: &Store, lease: u64, key: &str, mut state: watch::Receiver<FeedState>) {
     let mut era_watch = store.watch_era();
     let mut era = era_watch.borrow_and_update().number;
@@ -99,7 +99,8 @@
 /// that era.
 async fn is_entry_shown(state: &mut watch::Receiver<FeedState>, key: &str, era: u32) -> bool {
     let shows_era = |copy: &FeedState| copy.revision().era >= era;
-    // The feed ends only with the process.
+    // Waiting fails only once the feed has ended, which happens only when the process
+    // ends.
     state
         .wait_for(shows_era)
         .await
