--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -24,7 +24,8 @@
 use crate::quota::{Charge, QuotaDecision};
 use crate::trust;
 
-/// Time allowed to a request for which neither the client nor the route names one.
+/// Timeout that replaces the client's or the route's where it is missing. As the shorter of
+/// the two applies, a request with only one of them gets at most this time.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time allowed to a client to send the body of its request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -34,9 +35,9 @@
 const USUALLY_CONFIGURED_AFTER: Duration = Duration::from_millis(150);
 /// Retry-After of a node that has no configuration because the store is unreachable.
 const STORE_UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(1500);
-/// Time within which most requests that are not streams end. From the stage `Closing` on, the
-/// process refuses them if it ends earlier than after this time or their route's timeout,
-/// whichever is shorter.
+/// Time within which most requests that are not streams end. From the stage `Closing` on, such
+/// a request is admitted only if the process will run for longer than this time, or than the
+/// route's timeout if that is shorter. Streams are refused.
 const USUAL_MAX_DURATION: Duration = Duration::from_millis(1500);
 
 /// The longest wait for a quota decision is the route's target latency divided by this
@@ -131,8 +132,8 @@
     }
 }
 
-/// Returns whether a request that arrives now may be admitted: false if the process is about
-/// to end and the request would probably not end before it.
+/// Returns whether a request that arrives now is likely to end before the process does. Before
+/// the stage `Closing` this is assumed of every request, from then on of no stream.
 fn ends_before_process(context: &Context, route: &Route) -> bool {
     if context.lifecycle.stage() < Stage::Closing {
         return true;
--- a/crates/gateway/src/answers.rs
+++ b/crates/gateway/src/answers.rs
@@ -24,7 +24,9 @@
 /// An answer that the gateway generates itself instead of relaying a runner's.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnAnswer {
-    /// HTTP status of the answer.
+    /// HTTP status that the client gets: 503 for a refusal that may be retried, 429 over a
+    /// quota, another 4xx if a retry would fail too, and 502 or 504 if the request ran or may
+    /// have run.
     pub status: StatusCode,
     /// Whether the request may have run; sent to the client in the body.
     pub verdict: Verdict,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,9 +20,9 @@
 /// A caller's request as it is sent to runners, the same for each attempt.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Method of the client's request.
+    /// Method of the client's request, which runners get unchanged.
     pub method: Method,
-    /// Path and query of the client's request.
+    /// Path and query of the client's request, which runners get unchanged.
     pub target: Uri,
     /// The headers of the client's request that callers may set; those that belong to the
     /// gateway, runners or the connection are dropped.
@@ -46,13 +46,14 @@
     pub permit: Permit,
     /// The connection on which the body arrives.
     pub connection: Connection,
-    /// Status of the runner's answer.
+    /// Status with which the runner answered, which the client gets unless the gateway makes
+    /// another attempt or answers itself.
     pub status: StatusCode,
     /// Headers of the runner's answer, unfiltered.
     pub headers: HeaderMap,
     /// Values that the platform's dialect reads from the head.
     pub facts: AnswerFacts,
-    /// Body of the runner's answer.
+    /// The part of the runner's body that has not been read yet.
     pub body: Incoming,
     /// Time from sending the request to the head of the answer.
     pub waited: Duration,
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -146,8 +146,8 @@
     /// Returns the number of connections that this node may have to one runner of
     /// `service`: an equal share of the service's limit, at least 1.
     fn connection_share(&self, service: &str) -> u32 {
-        /// Fraction of the limit that is divided among the known nodes. The remainder covers
-        /// nodes that do not know of each other yet.
+        /// Fraction of the service's connection limit that is divided among the known nodes.
+        /// The remainder covers nodes that do not know of each other yet.
         const USED_FRACTION: f64 = 0.8;
         let routes = self.routes.borrow();
         let limit = routes
--- a/crates/gateway/src/crashes/mod.rs
+++ b/crates/gateway/src/crashes/mod.rs
@@ -69,8 +69,8 @@
 /// A handle to the crash task of this node; clones share the task.
 #[derive(Debug, Clone)]
 pub struct CrashHandle {
-    // Bounded by the attempts in flight and by the messages of peers: the task handles
-    // each command immediately.
+    // The queue has no limit of its own. Its length is bounded by the attempts in flight and
+    // by the messages of peers, since the task handles each command immediately.
     commands: mpsc::UnboundedSender<Command>,
     quarantine: watch::Receiver<Quarantine>,
 }
@@ -111,7 +111,8 @@
                 return remaining;
             }
             if quarantine.changed().await.is_err() {
-                // The task ends only with the process.
+                // The crash task, which publishes the quarantine, has ended. It ends only with
+                // the process.
                 std::future::pending::<()>().await;
             }
         }
@@ -123,7 +124,7 @@
     }
 
     fn send(&self, command: Command) {
-        // The task ends only with the process, so the command is always received.
+        // The crash task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -153,8 +153,8 @@
 /// nothing, do not wait until the command is carried out.
 #[derive(Debug, Clone)]
 pub struct DispatchHandle {
-    // Bounded by the requests in flight and by the messages of peers: the task handles
-    // each command immediately.
+    // The queue has no limit of its own. Its length is bounded by the requests in flight and
+    // by the messages of peers, since the task handles each command immediately.
     commands: mpsc::UnboundedSender<Command>,
     shared: Arc<SharedCounters>,
     limits: watch::Receiver<AdvertisedLimits>,
@@ -177,7 +177,7 @@
 
 impl DispatchHandle {
     fn send(&self, command: Command) {
-        // The task ends only with the process, so the command is always received.
+        // The dispatcher's task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 
--- a/crates/gateway/src/dispatch/task.rs
+++ b/crates/gateway/src/dispatch/task.rs
@@ -17,14 +17,16 @@
 };
 use crate::journal;
 
-/// Longest time between two polls of the queue.
+/// Time until the next poll of the queue if no command arrives and nothing is due earlier.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// Longest time between two polls while requests wait. A runner that rejected a request
-/// becomes eligible again after some time, and no command reports that.
+/// Longest time between two polls of the queue while requests wait. A runner that rejected a
+/// request becomes eligible again after some time; the task gets no command then and notices
+/// it only at its next poll.
 const MAX_POLL_INTERVAL_WHILE_WAITING: Duration = Duration::from_millis(200);
 
-/// Time added to each timer, so that the event that it waits for is due when it fires.
+/// Time added to each timer, so that it never fires shortly before the time for which it was
+/// set.
 const TIMER_SLACK: Duration = Duration::from_millis(1);
 
 /// Starts the task and returns a handle to it. `urgent_demand` is notified when a request
@@ -62,7 +64,6 @@
     handle
 }
 
-/// State of the dispatcher's task.
 struct DispatchTask {
     dispatcher: Dispatcher,
     splitter: Splitter,
@@ -120,7 +121,8 @@
     /// Requests permits to call rate-limited runners from the limit owners.
     fn request_rate_permits(&mut self) {
         for request in self.dispatcher.start_permit_requests(now()) {
-            // The receiving task ends only with the process.
+            // Sending fails only if the task that asks the limit owners has ended, and it ends
+            // only with the process.
             let _ = self.rate_permits.send(request);
         }
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -20,10 +20,10 @@
 use crate::journal;
 use crate::quota::Charge;
 
-/// Maximum number of rejections by runners after which a request still gets another attempt.
+/// A request that runners rejected more often than this gets no further attempt.
 const MAX_REJECTIONS: u32 = 2;
-/// Maximum number of attempts without a byte sent after which a request still gets another
-/// attempt.
+/// A request gets no further attempt after more than this number of attempts that failed
+/// before any byte was sent.
 const MAX_UNSENT_ATTEMPTS: u32 = 4;
 /// Fraction of the route's timeout. A client that allows the request less time than this
 /// seems to have used up the rest in earlier attempts.
@@ -37,9 +37,10 @@
 /// Lower bound of the stall timeout for streams before their first event.
 const MIN_STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Length from which on a gap between two events does not count towards the usual gap.
+/// Gaps between two events that are at least this long are left out of the estimate of a
+/// stream's usual gap.
 const LONG_GAP: Duration = Duration::from_millis(60);
-/// Number of gaps from which on a stream's usual gap is known.
+/// Minimum number of gaps between events for an estimate of a stream's usual gap.
 const MIN_GAP_SAMPLES: u32 = 10;
 
 /// Result of the admission of a request: its route, service, tenant and quota charge.
@@ -390,7 +391,8 @@
     /// runners would crash one more if it were resent at once.
     pub async fn await_resend_decision(&mut self) {
         if let Some(resend_decision) = self.resend_decision.take() {
-            // The result is read from the quarantine afterwards, also after a timeout.
+            // Only the wait matters here, whether the decision or the timeout ends it: callers
+            // check afterwards whether the request is quarantined.
             let _ = timeout(RESEND_DECISION_TIMEOUT, resend_decision).await;
         }
     }
--- a/crates/gateway/src/inflight.rs
+++ b/crates/gateway/src/inflight.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Counts one request as in flight until it is dropped.
+/// While this guard exists, one request counts as in flight.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<InFlight>);
 
@@ -32,7 +32,7 @@
     /// Waits until no request is in flight.
     pub async fn wait_until_idle(&self) {
         let mut count = self.count.subscribe();
-        // The sender lives as long as `self`.
+        // `wait_for` fails only after the sender is dropped, and `self` owns the sender.
         let _ = count.wait_for(|count| *count == 0).await;
     }
 }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -64,7 +64,7 @@
     pub async fn wait_for_stage(&self, stage: Stage) {
         let mut receiver = self.stage.clone();
         if receiver.wait_for(|now| *now >= stage).await.is_err() {
-            // Without a sender the stage never changes.
+            // The sender was dropped, so the stage never changes again.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/gateway/src/lifecycle_tests.rs
+++ b/crates/gateway/src/lifecycle_tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the stages of the process.
+//! Tests of waiting for a stage of the process: a later stage counts as reached, and a process
+//! that is never stopped reaches none after `Running`.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -29,7 +29,8 @@
 pub struct ListenerLimits {
     /// Number of connections that are open at the same time. Read once, at the start.
     pub connections: usize,
-    /// Longest head of a request, in bytes.
+    /// Longest head of a request, in bytes; a value below [`MIN_HEAD_BYTES`], such as 0,
+    /// counts as [`MIN_HEAD_BYTES`].
     pub header_bytes: usize,
     /// Longest time until the head of the next request is complete, and longest time for
     /// which a caller may read nothing of an answer.
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -28,7 +28,8 @@
     Load {
         /// Name of the sending node.
         node: Arc<str>,
-        /// The sender's entry in the list of members.
+        /// What the sender states about itself: its address for messages, the speed of its
+        /// link and its zone.
         record: MemberRecord,
         /// The sender's attempts in flight, by runner.
         in_flight: Vec<(RunnerKey, u32)>,
@@ -40,7 +41,8 @@
     RelaySum {
         /// Name of the sending relay.
         relay: Arc<str>,
-        /// Sum over the nodes that send their load to the relay.
+        /// Attempts in flight by runner, summed over the nodes that send their load to the
+        /// relay.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
         updates: ClusterUpdates,
@@ -49,7 +51,8 @@
     Fleet {
         /// Name of the sending relay.
         relay: Arc<str>,
-        /// Sum over the nodes of all relays.
+        /// Attempts in flight by runner, summed over all nodes: those that send their load to
+        /// the sending relay and those that send it to another.
         sum: LoadSum,
         /// Updates on runners and requests that the relay passes on.
         updates: ClusterUpdates,
@@ -78,7 +81,8 @@
     QuotaAnswer {
         /// The number that the requesting node gave to its request.
         number: u64,
-        /// Whether the permit is granted, and the node's reserve.
+        /// Whether the limit owner grants the permit, and the reserve that the requesting node
+        /// may use while the owner does not answer.
         answer: QuotaAnswer,
     },
 }
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -8,8 +8,8 @@
 
 use barleyspar_catalog::Runner;
 
-/// Number of names, beyond twice those in use at the last cleanup, above which unused names
-/// are removed.
+/// Unused names are removed once there are more names than twice those in use at the last
+/// cleanup plus this number.
 const UNUSED_ALLOWANCE: usize = 1024;
 
 /// A set of interned names. Names that no runner's entry uses are removed from time to time.
@@ -20,8 +20,8 @@
 }
 
 impl Names {
-    /// Replaces the names in `runner` by their interned copies, and shrinks its lists to
-    /// their length.
+    /// Replaces the names in `runner` by their interned copies, and frees the unused capacity
+    /// of its lists.
     pub fn intern_names(&mut self, runner: &mut Runner) {
         self.intern(&mut runner.service);
         self.intern(&mut runner.zone);
--- a/crates/gateway/src/network.rs
+++ b/crates/gateway/src/network.rs
@@ -88,7 +88,8 @@
         ),
         ("keep_alive", socket.set_tcp_keepalive(&keep_alive)),
     ];
-    // A stream works without these options too, only slower.
+    // A stream works without these options too, but may send with a delay, or detect late or
+    // never that its peer is unresponsive.
     for (option, result) in results {
         if let Err(error) = result {
             tracing::debug!(event = "socket_option_refused", option, %error);
--- a/crates/gateway/src/network_tests.rs
+++ b/crates/gateway/src/network_tests.rs
@@ -6,8 +6,8 @@
 
 use super::{ByteStream, KEEP_ALIVE_PROBES, KEEP_ALIVE_TIME, USER_TIMEOUT, set_options};
 
-/// Without these options, a connection whose peer became unresponsive without a reset is
-/// never closed.
+/// Without the probes and the timeout that `set_options` sets, a connection whose peer became
+/// unresponsive without a reset is never closed.
 #[tokio::test]
 async fn connections_are_probed_and_given_up() {
     let listener = TcpListener::bind("127.0.0.1:0")
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -57,7 +57,7 @@
     Address {
         /// Kind of the address, such as `caller address`.
         what: &'static str,
-        /// The address with its port.
+        /// The address that could not be bound, with its port.
         address: String,
         /// The error of the operating system.
         cause: io::Error,
@@ -359,7 +359,6 @@
     }
 }
 
-/// Returns the limits of the retry budget in the settings.
 fn retry_budget(settings: &NodeSettings) -> BudgetLimits {
     BudgetLimits {
         ratio: settings.bounds.retry_ratio,
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -33,7 +33,6 @@
     Unknown,
 }
 
-/// Commands to the quota task.
 enum Command {
     Admit {
         subject: Subject,
@@ -57,8 +56,8 @@
 /// A handle to the quota task of this node; clones share the task.
 #[derive(Debug, Clone)]
 pub struct QuotaHandle {
-    // Bounded by the requests in flight and by the messages of peers: the task handles
-    // each command immediately.
+    // The queue has no limit of its own. Its length is bounded by the requests in flight and
+    // by the messages of peers, since the task handles each command immediately.
     commands: mpsc::UnboundedSender<Command>,
 }
 
@@ -115,7 +114,7 @@
 
 impl QuotaHandle {
     fn send(&self, command: Command) {
-        // The task ends only with the process, so the command is always received.
+        // The quota task ends only with the process, so the command is always received.
         let _ = self.commands.send(command);
     }
 
--- a/crates/gateway/src/quota/owners.rs
+++ b/crates/gateway/src/quota/owners.rs
@@ -17,8 +17,8 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which a node that is listed in the store, but has sent no message, counts as
-/// responsive: the interval of two messages. Store entries outlive their nodes by
-/// seconds, and a node that is gone answers no requests as an owner.
+/// responsive: long enough for two messages. A node that is gone stays listed in the store for
+/// seconds, but as a limit owner it would answer no requests.
 const UNSEEN_NODE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Maximum number of owners that are cached; the cache is cleared beyond it.
--- a/crates/gateway/src/quota/task.rs
+++ b/crates/gateway/src/quota/task.rs
@@ -167,8 +167,8 @@
         }
         let (subject, cost) = (&pending.subject, pending.cost);
         if self.ledger.take_unused(subject, cost, now()) {
-            // If the caller has disconnected, nobody waits for the decision; the same holds for
-            // the other replies below.
+            // Sending fails if the caller has disconnected and nobody waits for the decision.
+            // Every `reply.send` of this task ignores that.
             let _ = pending.reply.send(QuotaDecision::Granted);
             return;
         }
@@ -231,7 +231,8 @@
     /// does not own the limit. A request that the reserve does not cover is retried until
     /// its deadline.
     fn decide_by_reserve(&mut self, number: u64, mut pending: Pending) {
-        // A pseudo-random number from 0 to 1.
+        // A pseudo-random number from 0 to 1, which decides if the reserve covers only a part
+        // of the cost.
         let draw = rendezvous_weight(&self.last_number, &*self.context.settings.name) as f64
             / u64::MAX as f64;
         let granted = self
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -63,9 +63,9 @@
     }
 }
 
-/// Applies the rate limit in an answer, or its absence. Absence counts as of the time at
-/// which the call was sent, since an answer that advertises a limit may have overtaken this
-/// one.
+/// Applies the rate limit in an answer, or its absence. Absence counts as of the time at which
+/// the call was sent: an answer to a later call, which advertises a limit, may have arrived
+/// before the answer without one.
 fn apply_limit(context: &Context, call: &SignalledCall<'_>, facts: &AnswerFacts) {
     let limit = facts.signals.limit;
     context.metrics.limit_answer(call.call, limit.is_some());
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -21,7 +21,8 @@
 
 /// Lower bound of the stall timeout between two events.
 const MIN_GAP_STALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time between two searches for another runner while a stream stalls.
+/// Minimum time between two searches for another runner while a stream stalls. They are a
+/// stall timeout apart if that is longer.
 const STALL_RECHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How the relaying of a stream from one runner ended.
@@ -161,7 +162,8 @@
                     if let Some(permit) = self.acquire_other_runner().await {
                         return RunEnd::Stalled(permit);
                     }
-                    // The next search for another runner follows after the recheck interval.
+                    // The next search for another runner follows after the stall timeout, or
+                    // after `STALL_RECHECK_INTERVAL` if that is longer.
                     last_received = Instant::now() + STALL_RECHECK_INTERVAL - self.stall_timeout().min(STALL_RECHECK_INTERVAL);
                 }
             }
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -25,7 +25,8 @@
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(8);
 /// Longest idle time of a connection whose peer announced no keep-alive time.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_millis(900);
-/// Time before the end of the peer's keep-alive time from which a connection is not reused.
+/// Last part of the keep-alive time that the peer announced. A connection that has reached
+/// this part is not reused, since the peer may close it before the next request arrives.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 
 /// Reason why no connection could be opened. Nothing was sent.
@@ -135,7 +136,8 @@
     }
 
     /// Returns whether the idle connection may be reused now: it is alive and has been idle
-    /// for long enough to show excess bytes of the peer.
+    /// for [`MIN_IDLE_BEFORE_REUSE`], within which any bytes that the peer sent after the end
+    /// of its answer would have arrived.
     pub fn is_ready(&self) -> bool {
         self.is_alive()
             && self.sender.is_ready()
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -28,7 +28,6 @@
     Full,
 }
 
-/// The connections to one runner.
 #[derive(Debug, Default)]
 struct RunnerConnections {
     idle: Vec<Connection>,
@@ -53,7 +52,6 @@
 }
 
 impl Pool {
-    /// Calls `act` with the locked entries.
     fn with_entries<T>(
         &self,
         act: impl FnOnce(&mut HashMap<Arc<str>, RunnerConnections>) -> T,
