--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -19,7 +19,7 @@
 }
 
 impl TaskGroup {
-    /// Spawns `future` in the group. All tasks that it spawns with [`spawn`] belong to the
+    /// Spawns `future` in the group. All tasks that it spawns with `spawn` belong to the
     /// group too.
     pub fn spawn<Work>(&self, future: Work)
     where
--- a/crates/standin/tests/start.rs
+++ b/crates/standin/tests/start.rs
@@ -9,12 +9,11 @@
 /// Number of gateways, so many that they use the mechanisms of large sites, such as relays.
 const GATEWAYS: u8 = 250;
 
-/// Guards against many calls to the store at the start of a site: 985 gateways made 9,166
-/// priced calls, which cost 0.076 of the value of a day. No gateway could become leader until
-/// the operators wrote the configuration, 1.6 s after the start. Then all but the twelve with
-/// the shortest staggered delays tried to get the leader's lease at the same time, with three
-/// calls each (grant, commit, end). Each gateway also watched the store for the short time
-/// between reading its peers and knowing them.
+/// Guards against many calls to the store at the start of a site: 985 gateways made 9,166.
+/// No gateway can become leader until the operators have written the configuration. Then all
+/// but the twelve with the shortest staggered delays tried to get the leader's lease at the
+/// same time, with three calls each (grant, commit, end). Each gateway also watched the store
+/// for the short time between reading its peers and knowing them.
 ///
 /// A starting gateway needs three calls: one to read the store, and two to write its entry
 /// under a lease.
