--- a/crates/barleyspar/src/gateway.rs
+++ b/crates/barleyspar/src/gateway.rs
@@ -48,6 +48,6 @@
     };
     let source = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
     let program = Program::compile(&source).map_err(|error| bad(error.to_string()))?;
-    program.rehearse().map_err(|error| bad(error.to_string()))?;
+    program.dry_run().map_err(|error| bad(error.to_string()))?;
     Ok(program)
 }
--- a/crates/gateway/src/crashes/mod.rs
+++ b/crates/gateway/src/crashes/mod.rs
@@ -22,7 +22,7 @@
 
 /// A request whose connection to its runner broke.
 #[derive(Debug)]
-pub struct Broken {
+pub struct BrokenRequest {
     /// Id of the caller's request, for the log.
     pub request: Arc<str>,
     /// Fingerprint that identifies equal requests on all nodes.
@@ -36,12 +36,16 @@
 /// completes.
 type DecisionSender = oneshot::Sender<()>;
 /// Completes, with an error, when the decision on resending the request is known.
-pub type Settled = oneshot::Receiver<()>;
+pub type ResendDecision = oneshot::Receiver<()>;
 
-impl Broken {
+impl BrokenRequest {
     /// Creates the record of a broken request, and a receiver that completes when the
     /// decision on resending the request is known.
-    pub fn new(request: Arc<str>, fingerprint: Fingerprint, progress: Progress) -> (Self, Settled) {
+    pub fn new(
+        request: Arc<str>,
+        fingerprint: Fingerprint,
+        progress: Progress,
+    ) -> (Self, ResendDecision) {
         let (decision_sender, decision_known) = oneshot::channel();
         let broken = Self {
             request,
@@ -54,9 +58,9 @@
 }
 
 enum Command {
-    ConnectionBroke(Arc<Runner>, Broken),
+    ConnectionBroke(Arc<Runner>, BrokenRequest),
     ProbeFinished(Arc<Runner>, bool),
-    CrashCounted(Broken, QuotaDecision),
+    CrashCounted(BrokenRequest, QuotaDecision),
     RequestServed(Fingerprint),
     QuarantineUpdate(Vec<QuarantineUpdate>),
 }
@@ -72,18 +76,18 @@
 
 impl CrashHandle {
     /// Reports that the connection to `runner` broke during a request.
-    pub fn broke(&self, runner: Arc<Runner>, broken: Broken) {
+    pub fn report_broken_connection(&self, runner: Arc<Runner>, broken: BrokenRequest) {
         self.send(Command::ConnectionBroke(runner, broken));
     }
 
     /// Reports that `request` was answered successfully, so that later crashes are not
     /// attributed to it for a while.
-    pub fn served(&self, request: Fingerprint) {
+    pub fn report_served(&self, request: Fingerprint) {
         self.send(Command::RequestServed(request));
     }
 
     /// Applies quarantine updates received from another node.
-    pub fn hear(&self, updates: Vec<QuarantineUpdate>) {
+    pub fn apply_quarantine_updates(&self, updates: Vec<QuarantineUpdate>) {
         if !updates.is_empty() {
             self.send(Command::QuarantineUpdate(updates));
         }
@@ -91,17 +95,17 @@
 
     /// Returns the remaining quarantine of `request`, or `None` if it may be sent to
     /// runners.
-    pub fn quarantined(&self, request: Fingerprint) -> Option<Duration> {
+    pub fn remaining_quarantine(&self, request: Fingerprint) -> Option<Duration> {
         let now = Instant::now().into_std();
         self.quarantine.borrow().remaining(request, now)
     }
 
     /// Waits until `request` is put in quarantine, and returns the remaining time.
-    pub async fn until_quarantined(&self, request: Fingerprint) -> Duration {
+    pub async fn wait_until_quarantined(&self, request: Fingerprint) -> Duration {
         let mut quarantine = self.quarantine.clone();
         loop {
             quarantine.borrow_and_update();
-            if let Some(remaining) = self.quarantined(request) {
+            if let Some(remaining) = self.remaining_quarantine(request) {
                 return remaining;
             }
             if quarantine.changed().await.is_err() {
@@ -112,7 +116,7 @@
     }
 
     /// Returns a receiver that is notified when the set of quarantined requests changes.
-    pub fn quarantine(&self) -> watch::Receiver<Quarantine> {
+    pub fn watch_quarantine(&self) -> watch::Receiver<Quarantine> {
         self.quarantine.clone()
     }
 
--- a/crates/gateway/src/crashes/task.rs
+++ b/crates/gateway/src/crashes/task.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::context::{CONNECT_TIMEOUT, Context};
-use crate::crashes::{Broken, Command, CrashInbox};
+use crate::crashes::{BrokenRequest, Command, CrashInbox};
 use crate::journal;
 use crate::quota::QuotaDecision;
 use crate::upstream::ConnectError;
@@ -22,7 +22,7 @@
     inbox: mpsc::UnboundedReceiver<Command>,
     /// Broken requests at runners that are being probed with a new connection, by runner
     /// id.
-    awaiting_probe: HashMap<Arc<str>, Vec<Broken>>,
+    awaiting_probe: HashMap<Arc<str>, Vec<BrokenRequest>>,
     recently_served: RecentlyServed,
     quarantine: watch::Sender<Quarantine>,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn connection_broke(&mut self, runner: Arc<Runner>, broken: Broken) {
+    fn connection_broke(&mut self, runner: Arc<Runner>, broken: BrokenRequest) {
         let waiting = self.awaiting_probe.entry(runner.id.clone()).or_default();
         waiting.push(broken);
         if waiting.len() == 1 {
@@ -74,7 +74,7 @@
     /// Counts the crash of `runner` against the request. A request that was served
     /// successfully a short while ago is not counted, because it is unlikely to be the
     /// cause, and many callers send the same one.
-    fn count_crash(&self, broken: Broken, runner: &Arc<str>) {
+    fn count_crash(&self, broken: BrokenRequest, runner: &Arc<str>) {
         let served_lately = self.recently_served.contains(broken.fingerprint, now());
         journal::runner_crashed(runner, &broken, served_lately);
         if !served_lately {
@@ -85,7 +85,7 @@
 
     /// Handles the limit owner's decision on a counted crash, then releases the request,
     /// which may be resent unless it is in quarantine.
-    fn crash_counted(&self, broken: Broken, decision: QuotaDecision) {
+    fn crash_counted(&self, broken: BrokenRequest, decision: QuotaDecision) {
         if let QuotaDecision::Denied(remaining) = decision {
             self.quarantine_request(broken.fingerprint, remaining);
         }
@@ -136,7 +136,7 @@
 }
 
 /// Asks the owner of the request's limit to count the crash of `runner`.
-async fn count_at_owner(context: Context, broken: Broken, runner: Arc<str>) {
+async fn count_at_owner(context: Context, broken: BrokenRequest, runner: Arc<str>) {
     let (request, weight) = (broken.fingerprint, broken.progress.weight());
     let decision = context.quota.admit_crash(request, weight, runner).await;
     context
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -14,7 +14,7 @@
 
 use crate::attempt::{AttemptError, Outgoing};
 use crate::context::Context;
-use crate::crashes::{Broken, Settled};
+use crate::crashes::{BrokenRequest, ResendDecision};
 use crate::inflight::InFlightGuard;
 use crate::journal;
 use crate::quota::Charge;
@@ -90,7 +90,7 @@
     possible_runs: u32,
     rejections: u32,
     unsent: u32,
-    crash_finding: Option<Settled>,
+    crash_finding: Option<ResendDecision>,
     ended: bool,
     _in_flight: InFlightGuard,
 }
@@ -170,7 +170,10 @@
     /// Returns the remaining time for which the request must not be sent to any runner;
     /// `None` if it is not quarantined. Logs a quarantine.
     pub fn quarantined(&self) -> Option<Duration> {
-        let remaining = self.context.crashes.quarantined(self.outgoing.fingerprint);
+        let remaining = self
+            .context
+            .crashes
+            .remaining_quarantine(self.outgoing.fingerprint);
         remaining.inspect(|remaining| self.log_quarantine(*remaining))
     }
 
@@ -178,7 +181,11 @@
     /// quarantine. Logs it.
     pub async fn until_quarantined(&self) -> Duration {
         let fingerprint = self.outgoing.fingerprint;
-        let remaining = self.context.crashes.until_quarantined(fingerprint).await;
+        let remaining = self
+            .context
+            .crashes
+            .wait_until_quarantined(fingerprint)
+            .await;
         self.log_quarantine(remaining);
         remaining
     }
@@ -361,9 +368,11 @@
     /// runner crashed. `progress`: how far the request had come there.
     pub fn report_broken_connection(&mut self, runner: &Arc<Runner>, progress: Progress) {
         let fingerprint = self.outgoing.fingerprint;
-        let (broken, crash_finding) = Broken::new(self.id().into(), fingerprint, progress);
+        let (broken, crash_finding) = BrokenRequest::new(self.id().into(), fingerprint, progress);
         self.crash_finding = Some(crash_finding);
-        self.context.crashes.broke(runner.clone(), broken);
+        self.context
+            .crashes
+            .report_broken_connection(runner.clone(), broken);
     }
 
     /// Waits, for at most [`CRASH_FINDING_TIMEOUT`], until it is known whether the request
@@ -381,7 +390,7 @@
     pub fn record_run(&mut self, runner: &Arc<str>, verdict: Verdict) {
         self.verdict = self.verdict.combined_with(verdict);
         if let Some(charge) = &mut self.charge {
-            charge.used();
+            charge.mark_used();
         }
         self.possible_runs += 1;
         if !self.excluded.contains(runner) {
@@ -405,7 +414,9 @@
     pub fn end(&mut self, status: u16, reason: &str) {
         self.ended = true;
         if reason == journal::ANSWERED {
-            self.context.crashes.served(self.outgoing.fingerprint);
+            self.context
+                .crashes
+                .report_served(self.outgoing.fingerprint);
         }
         let outcome = match status {
             200..=299 => "served",
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -12,7 +12,7 @@
 
 use crate::attempt::AttemptError;
 use crate::context::Context;
-use crate::crashes::Broken;
+use crate::crashes::BrokenRequest;
 use crate::dispatch::Permit;
 
 /// The `reason` of a request that ended with a runner's complete answer.
@@ -141,7 +141,7 @@
 
 /// Logs that a runner crashed while a request was there. `served_lately`: whether this node
 /// served the same request lately, so that it is not blamed for the crash.
-pub fn runner_crashed(runner: &str, broken: &Broken, served_lately: bool) {
+pub fn runner_crashed(runner: &str, broken: &BrokenRequest, served_lately: bool) {
     tracing::warn!(
         event = "runner_crashed",
         request = &*broken.request,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -9,7 +9,7 @@
 use barleyspar_callers::AccessBounds;
 use barleyspar_catalog::{Dialect, NodeSettings};
 use barleyspar_dispatch::{BudgetLimits, Dispatcher, Site};
-use barleyspar_loading::{PaceLimits, Planner, PlannerSettings, Switches};
+use barleyspar_loading::{LoadRateLimits, Planner, PlannerSettings, Switches};
 use barleyspar_policy::Program;
 use thiserror::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -78,10 +78,10 @@
 
 impl Placing {
     /// Completes the planner's settings with the limits on the rate of loads.
-    fn with_pace(self, pace: PaceLimits) -> PlannerSettings {
+    fn with_pace(self, pace: LoadRateLimits) -> PlannerSettings {
         PlannerSettings {
             policy: self.policy,
-            pace,
+            load_rate_limits: pace,
             switches: self.switches,
         }
     }
@@ -272,7 +272,7 @@
     };
     let heard = peer_handle.heard();
     let feed_peers = peer_handle.heard();
-    let pace = PaceLimits {
+    let pace = LoadRateLimits {
         window: settings.bounds.load_window,
         overage: settings.bounds.load_overage,
     };
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -77,7 +77,7 @@
     ) -> Self {
         Self {
             own: MemberRecord::of(&context.settings),
-            quarantine: context.crashes.quarantine(),
+            quarantine: context.crashes.watch_quarantine(),
             context,
             socket,
             members: Members::default(),
@@ -189,9 +189,9 @@
                     self.context.dispatch.update_models(inventory);
                 }
             }
-            Some(Message::QuotaRequest(request)) => self.context.quota.asked(request),
+            Some(Message::QuotaRequest(request)) => self.context.quota.handle_peer_request(request),
             Some(Message::QuotaAnswer { number, answer }) => {
-                self.context.quota.answered(number, answer);
+                self.context.quota.handle_owner_answer(number, answer);
             }
             None => tracing::info!(event = "datagram_unreadable", bytes = bytes.len()),
         }
@@ -200,7 +200,9 @@
     fn apply_updates(&self, updates: News) {
         self.context.dispatch.hear_limits(updates.limits);
         self.context.dispatch.hear_leaving_news(updates.leaving);
-        self.context.crashes.hear(updates.quarantined);
+        self.context
+            .crashes
+            .apply_quarantine_updates(updates.quarantined);
     }
 
     /// Returns the updates for this node's next message.
--- a/crates/gateway/src/placement/inventories.rs
+++ b/crates/gateway/src/placement/inventories.rs
@@ -20,7 +20,7 @@
         .models
         .iter()
         .cloned()
-        .partition(|replica| view.unloads(&replica.model));
+        .partition(|replica| view.is_unloading(&replica.model));
     Inventory {
         runner: view.id.clone(),
         sequence: view.sequence,
@@ -33,7 +33,7 @@
 /// Returns the load that was ordered, with its expected remaining time; `None` if no
 /// load is in progress.
 fn loading(view: &RunnerView) -> Option<Loading> {
-    let Some(OrderAction::LoadModel { model }) = &view.ordered else {
+    let Some(OrderAction::LoadModel { model }) = &view.order_in_progress else {
         return None;
     };
     let remaining = view
--- a/crates/gateway/src/placement/lease.rs
+++ b/crates/gateway/src/placement/lease.rs
@@ -176,7 +176,7 @@
                 quiet_from.into_std(),
                 LeaseSettings {
                     margin: MARGIN,
-                    quiet: self.quiet(),
+                    quiet_period: self.quiet(),
                 },
             )),
             _ => {
@@ -262,7 +262,7 @@
             let call = StoreCall::RenewLease { lease: lease.id };
             match self.store.call(&call, CALL_TIMEOUT).await {
                 Ok(StoreAnswer::Renewed { time_to_live }) => {
-                    lease.renewed(sent_at, time_to_live);
+                    lease.extend(sent_at, time_to_live);
                     let current_era = era.borrow().number;
                     let holds = current_era == acquired_in
                         || self.is_shown_as_leader(current_era, lease.token);
--- a/crates/gateway/src/placement/runners.rs
+++ b/crates/gateway/src/placement/runners.rs
@@ -68,7 +68,7 @@
         self.tracked.entry(runner.id.clone()).or_insert_with(|| {
             let mut entry = TrackedRunner::new(runner);
             entry.view.evacuated = evacuated;
-            entry.view.unread = !reads_report;
+            entry.view.report_unread = !reads_report;
             entry.report_at = reads_report.then(Instant::now);
             entry
         })
@@ -85,8 +85,8 @@
         }
         let reads_report = self.tracked.len() <= MAX_INITIAL_REPORTS;
         let entry = self.entry(&runner, reads_report);
-        entry.view.open = runner.state == RunnerState::Available;
-        if !entry.view.reported {
+        entry.view.available = runner.state == RunnerState::Available;
+        if !entry.view.report_known {
             entry.view.models = runner.models.clone();
         }
         if !runner.copies.memory.is_empty() || !runner.copies.disk.is_empty() {
@@ -143,7 +143,7 @@
     pub fn set_draining(&mut self, leaving: &LeavingRunners) {
         for id in leaving.iter() {
             if let Some(entry) = self.tracked.get_mut(id) {
-                entry.view.open = false;
+                entry.view.available = false;
             }
         }
     }
@@ -157,8 +157,8 @@
                 .get(id)
                 .filter(|announced| announced.is_current(now.into_std()));
             let limit = announced.and_then(|announced| announced.limit);
-            entry.view.limit = limit.map(RunnerLimit::per_second);
-            entry.view.held_back = entry.no_calls_until.is_some_and(|until| now < until);
+            entry.view.rate_limit = limit.map(RunnerLimit::per_second);
+            entry.view.calls_blocked = entry.no_calls_until.is_some_and(|until| now < until);
         }
     }
 
--- a/crates/gateway/src/placement/task.rs
+++ b/crates/gateway/src/placement/task.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use barleyspar_catalog::{Configuration, Order, OrderAnswer};
-use barleyspar_loading::{DemandBook, Lease, PlannedOrder, Planner, RunnerView};
+use barleyspar_loading::{ClusterDemand, Lease, PlannedOrder, Planner, RunnerView};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
@@ -53,7 +53,7 @@
 pub struct PlacementTask {
     context: Context,
     planner: Planner,
-    book: DemandBook,
+    book: ClusterDemand,
     configuration: Arc<Configuration>,
     runners: Runners,
     lease: watch::Receiver<Option<Lease>>,
@@ -83,7 +83,7 @@
         Self {
             context,
             planner,
-            book: DemandBook::default(),
+            book: ClusterDemand::default(),
             configuration: Arc::default(),
             runners: Runners::default(),
             lease,
@@ -185,7 +185,7 @@
         }
         self.leading = token;
         self.context.metrics.leads(token.is_some());
-        self.planner.restart(now());
+        self.planner.reset(now());
         match token {
             Some(_) => self.runners.start_leading(&self.configuration),
             None => self.runners.stop_leading(),
@@ -196,7 +196,7 @@
         let now = Instant::now();
         for entry in self.runners.tracked_mut() {
             let due = entry.report_at.is_some_and(|at| at <= now);
-            if !due || entry.report_in_progress || !entry.view.open {
+            if !due || entry.report_in_progress || !entry.view.available {
                 continue;
             }
             entry.report_in_progress = true;
@@ -215,7 +215,7 @@
             return;
         };
         entry.report_in_progress = false;
-        entry.view.unread = false;
+        entry.view.report_unread = false;
         let report = match result.report {
             Ok(report) => report,
             Err(ReportError::Call(CallError::NotBefore(wait))) => {
@@ -225,7 +225,7 @@
             }
             Err(cause) => {
                 tracing::info!(event = "report_failed", runner = &*result.runner, %cause);
-                entry.view.reported = false;
+                entry.view.report_known = false;
                 entry.view.reachable = false;
                 entry.report_at = Some(Instant::now() + REPORT_RETRY);
                 return;
@@ -287,7 +287,7 @@
         let orders = self
             .planner
             .plan(&self.configuration, &mut views, &mut self.book, now());
-        self.runners.request_reports(self.planner.looks());
+        self.runners.request_reports(self.planner.reports_needed());
         for order in orders {
             self.send_order(order, lease.token);
         }
@@ -310,7 +310,7 @@
         entry.order_in_progress = true;
         let duration = load_time(&self.configuration, &entry.view, &planned.action) + REPORT_LAG;
         entry.view.busy_until = Some(now() + duration);
-        entry.view.ordered = Some(planned.action.clone());
+        entry.view.order_in_progress = Some(planned.action.clone());
         entry.report_at = None;
         let order = Order {
             runner: entry.runner.name.clone(),
@@ -356,7 +356,7 @@
         };
         entry.order_in_progress = false;
         let load_time = load_time(&self.configuration, &entry.view, &result.order.action);
-        let report_lag = if entry.view.limit.is_some() {
+        let report_lag = if entry.view.rate_limit.is_some() {
             LIMITED_REPORT_LAG
         } else {
             REPORT_LAG
@@ -382,22 +382,22 @@
                 entry.report_at = later(load_time + report_lag);
             }
             Err(CallError::Unreachable(_)) => {
-                entry.view.ordered = None;
-                entry.view.reported = false;
+                entry.view.order_in_progress = None;
+                entry.view.report_known = false;
                 entry.view.reachable = false;
                 entry.report_at = later(REPORT_RETRY);
             }
             Err(CallError::NotBefore(wait)) => {
-                entry.view.ordered = None;
+                entry.view.order_in_progress = None;
                 entry.no_calls_until = Instant::now().checked_add(wait);
                 entry.report_at = entry.no_calls_until;
             }
             Err(CallError::NotSent(_)) => {
-                entry.view.ordered = None;
+                entry.view.order_in_progress = None;
                 entry.report_at = later(entry.report_retry_delay());
             }
             Ok(_) | Err(CallError::Unanswered(_)) => {
-                entry.view.reported = false;
+                entry.view.report_known = false;
                 entry.report_at = later(REPORT_LAG);
             }
         }
--- a/crates/gateway/src/placement/tracked_runner.rs
+++ b/crates/gateway/src/placement/tracked_runner.rs
@@ -39,7 +39,7 @@
     /// Returns the delay before the report is read again if the last one came too
     /// early.
     pub fn report_retry_delay(&self) -> Duration {
-        if self.view.limit.is_some() {
+        if self.view.rate_limit.is_some() {
             LIMITED_REPORT_DELAY
         } else {
             REPORT_DELAY
@@ -64,7 +64,7 @@
 /// Applies a report with a sequence number no lower than the known one.
 pub fn apply_report(entry: &mut TrackedRunner, report: Report) {
     let view = &mut entry.view;
-    view.reported = true;
+    view.report_known = true;
     view.reachable = true;
     view.sequence = report.sequence;
     view.busy = report.busy;
@@ -74,7 +74,7 @@
         view.copies = report.copies;
     }
     if !entry.order_in_progress && !view.busy {
-        view.ordered = None;
+        view.order_in_progress = None;
         view.busy_until = None;
     }
     if view.busy {
@@ -93,11 +93,11 @@
     match &order.action {
         OrderAction::LoadModel { .. } | OrderAction::UnloadModel { .. } => view.busy = true,
         OrderAction::LoadAdapter { model, adapter } => {
-            view.ordered = None;
+            view.order_in_progress = None;
             view.pending_adapters.push((model.clone(), adapter.clone()));
         }
         OrderAction::UnloadAdapter { model, adapter } => {
-            view.ordered = None;
+            view.order_in_progress = None;
             for held in view.models.iter_mut().filter(|held| held.model == *model) {
                 held.adapters.retain(|name| name != adapter);
             }
@@ -122,5 +122,5 @@
     let Some(spec) = engine.and_then(|engine| engine.models.get(model)) else {
         return Duration::ZERO;
     };
-    runner.source(model).load_time(spec)
+    runner.weight_source(model).load_time(spec)
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -99,7 +99,7 @@
 
     /// Marks the units as used, because the request may have run. They are not returned
     /// on drop.
-    pub fn used(&mut self) {
+    pub fn mark_used(&mut self) {
         self.used = true;
     }
 }
@@ -170,12 +170,12 @@
     }
 
     /// Handles a peer's request for a permit; the task sends the answer to the peer.
-    pub fn asked(&self, request: QuotaRequest) {
+    pub fn handle_peer_request(&self, request: QuotaRequest) {
         self.send(Command::PeerRequest(request));
     }
 
     /// Handles the limit owner's answer to the request `number` of this node.
-    pub fn answered(&self, number: u64, answer: QuotaAnswer) {
+    pub fn handle_owner_answer(&self, number: u64, answer: QuotaAnswer) {
         self.send(Command::OwnerAnswer { number, answer });
     }
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -249,7 +249,7 @@
                 "must be below models.count".to_owned(),
             ));
         }
-        let program = Program::compile(&self.policy.program).and_then(|p| p.rehearse());
+        let program = Program::compile(&self.policy.program).and_then(|p| p.dry_run());
         program
             .err()
             .map(|error| ("policy.program", error.to_string()))
--- a/crates/loading/src/adapters.rs
+++ b/crates/loading/src/adapters.rs
@@ -7,7 +7,7 @@
 
 use barleyspar_catalog::{EngineSpec, OrderAction};
 
-use crate::demand::{DemandBook, ModelDemand};
+use crate::demand::{ClusterDemand, ModelDemand};
 use crate::memory::{adapter_count, free_mb};
 use crate::view::RunnerView;
 
@@ -24,7 +24,7 @@
     /// Demand of the whole cluster, by model and adapter.
     pub demand: &'a BTreeMap<(Arc<str>, Arc<str>), ModelDemand>,
     /// Demand history, which tells how long an adapter has been idle.
-    pub cluster_demand: &'a DemandBook,
+    pub cluster_demand: &'a ClusterDemand,
     /// Time of the planning step.
     pub now: Instant,
 }
@@ -87,7 +87,7 @@
             .filter(|(_, runner)| runner.loaded_model(model).is_some())
             .filter(|(_, runner)| runner.pending_adapters.len() < MAXIMUM_PENDING)
             .min_by_key(|(_, runner)| {
-                let key = (runner.limit.is_some(), adapter_count(runner));
+                let key = (runner.rate_limit.is_some(), adapter_count(runner));
                 (key, runner.id.clone())
             })?;
         let is_full = adapter_count(runner) >= self.engine.adapter_capacity as usize;
--- a/crates/loading/src/decisions.rs
+++ b/crates/loading/src/decisions.rs
@@ -44,7 +44,7 @@
 impl From<Decision> for ReplicaDecision {
     fn from(decision: Decision) -> Self {
         Self {
-            target: decision.wanted() as usize,
+            target: decision.target_replicas() as usize,
             maximum: decision.replicas as usize,
             zones: decision
                 .zones
--- a/crates/loading/src/demand.rs
+++ b/crates/loading/src/demand.rs
@@ -50,7 +50,7 @@
 /// Keys are mapped to indices, so that adding up the reports of hundreds of nodes on
 /// hundreds of models needs no string comparisons.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct ClusterDemand {
     nodes: HashMap<Arc<str>, NodeDemand>,
     indices: HashMap<DemandKey, usize>,
     keys: Vec<DemandKey>,
@@ -71,7 +71,7 @@
     item: DemandItem,
 }
 
-impl DemandBook {
+impl ClusterDemand {
     /// Replaces the demand reported by `node`. The report expires after `valid_for`
     /// unless the node reports again.
     pub fn update(
--- a/crates/loading/src/lease.rs
+++ b/crates/loading/src/lease.rs
@@ -14,7 +14,7 @@
     pub margin: Duration,
     /// Time without orders after the previous leader's last possible order, so that it
     /// can no longer take effect.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
 }
 
 /// A lease held by this node.
@@ -51,7 +51,7 @@
 
     /// Extends the lease after a successful renewal whose call was sent at `sent`. A
     /// renewal that ends earlier than the current validity changes nothing.
-    pub fn renewed(&mut self, sent: Instant, time_to_live: Duration) {
+    pub fn extend(&mut self, sent: Instant, time_to_live: Duration) {
         self.valid_until = self
             .valid_until
             .max(certain_end(sent, time_to_live, self.settings));
@@ -65,7 +65,7 @@
     /// Returns whether this node may give orders at `now`: the lease is valid and the
     /// quiet period is over.
     pub fn may_order(&self, now: Instant) -> bool {
-        self.is_valid(now) && now >= self.quiet_from + self.settings.quiet
+        self.is_valid(now) && now >= self.quiet_from + self.settings.quiet_period
     }
 }
 
--- a/crates/loading/src/lib.rs
+++ b/crates/loading/src/lib.rs
@@ -19,9 +19,9 @@
 mod value;
 mod view;
 
-pub use demand::{DemandBook, ModelDemand};
+pub use demand::{ClusterDemand, ModelDemand};
 pub use lease::{Lease, LeaseSettings};
-pub use load_rate::{LoadRateLimiter, PaceLimits};
+pub use load_rate::{LoadRateLimiter, LoadRateLimits};
 pub use memory::{free_mb, used_mb};
 pub use planner::{PlannedOrder, Planner, PlannerSettings};
 pub use summary::{MostWanted, StepSummary};
--- a/crates/loading/src/load_rate.rs
+++ b/crates/loading/src/load_rate.rs
@@ -12,7 +12,7 @@
 
 /// Limits on the loads from the weight store, as enforced by the site.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PaceLimits {
+pub struct LoadRateLimits {
     /// Length of the window in which loads are counted.
     pub window: Duration,
     /// Factor by which the loads in a window may exceed the store's rate; 1.0 allows no
@@ -20,7 +20,7 @@
     pub overage: f64,
 }
 
-impl PaceLimits {
+impl LoadRateLimits {
     /// Returns the bucket size for `rate` loads per second. Together with the refill
     /// during one window it stays below the number of loads that the window allows.
     fn burst(&self, rate: f64) -> f64 {
@@ -33,14 +33,14 @@
 /// the leader, because the previous leader may just have used the full rate.
 #[derive(Debug)]
 pub struct LoadRateLimiter {
-    limits: PaceLimits,
+    limits: LoadRateLimits,
     tokens: f64,
     filled_at: Instant,
 }
 
 impl LoadRateLimiter {
     /// Creates an empty bucket that fills from `now` on.
-    pub fn new(limits: PaceLimits, now: Instant) -> Self {
+    pub fn new(limits: LoadRateLimits, now: Instant) -> Self {
         Self {
             limits,
             tokens: 0.0,
--- a/crates/loading/src/memory.rs
+++ b/crates/loading/src/memory.rs
@@ -24,7 +24,7 @@
         .iter()
         .map(|(model, _)| adapter(model))
         .sum();
-    let ordered = match &runner.ordered {
+    let ordered = match &runner.order_in_progress {
         Some(OrderAction::LoadModel { model }) if runner.loaded_model(model).is_none() => {
             weights(model)
         }
--- a/crates/loading/src/models.rs
+++ b/crates/loading/src/models.rs
@@ -158,7 +158,7 @@
         if runner.accepts_orders() {
             return 0.0;
         }
-        if runner.unread {
+        if runner.report_unread {
             return REPORT_READ_SECONDS;
         }
         runner.busy_until.map_or(UNKNOWN_BUSY_SECONDS, |until| {
--- a/crates/loading/src/over_limit.rs
+++ b/crates/loading/src/over_limit.rs
@@ -24,7 +24,7 @@
         if *runner.service != *service {
             continue;
         }
-        let Some(limit) = runner.limit else {
+        let Some(limit) = runner.rate_limit else {
             continue;
         };
         let rate = |model: &str| demand.get(model).map_or(0.0, |demand| demand.rate);
@@ -52,7 +52,7 @@
 fn is_held_by_unlimited_runner(service: &str, runners: &[RunnerView], model: &str) -> bool {
     runners.iter().any(|runner| {
         *runner.service == *service
-            && runner.limit.is_none()
+            && runner.rate_limit.is_none()
             && runner.reachable
             && runner.accepts_requests()
             && runner.loaded_model(model).is_some()
--- a/crates/loading/src/placement_index.rs
+++ b/crates/loading/src/placement_index.rs
@@ -206,8 +206,8 @@
         let may_order = may_wait || runner.accepts_orders_once_read();
         runner.service == *self.plan.service
             && runner.accepts_requests()
-            && runner.limit.is_none()
-            && (runner.reported || runner.unread)
+            && runner.rate_limit.is_none()
+            && (runner.report_known || runner.report_unread)
             && may_order
             && runner.loaded_model(model).is_none()
             && self
--- a/crates/loading/src/planner.rs
+++ b/crates/loading/src/planner.rs
@@ -9,8 +9,8 @@
 
 use crate::adapters::AdapterPlan;
 use crate::decisions::{PolicyDecisions, PolicyQuery};
-use crate::demand::{DemandBook, ModelDemand};
-use crate::load_rate::{LoadRateLimiter, PaceLimits};
+use crate::demand::{ClusterDemand, ModelDemand};
+use crate::load_rate::{LoadRateLimiter, LoadRateLimits};
 use crate::models::{ModelPlan, Placement};
 use crate::over_limit::mark_over_limit;
 use crate::placement_index::PlacementIndex;
@@ -32,7 +32,7 @@
     /// model.
     pub policy: Program,
     /// Limits on loads from the weight store.
-    pub pace: PaceLimits,
+    pub load_rate_limits: LoadRateLimits,
     /// Planner mechanisms that are switched off for comparison runs.
     pub switches: Switches,
 }
@@ -98,19 +98,19 @@
 
     /// Returns the runners whose reports must be read before the orders planned for them
     /// can be given.
-    pub fn looks(&self) -> &[Arc<str>] {
+    pub fn reports_needed(&self) -> &[Arc<str>] {
         &self.reports_needed
     }
 
     fn request_report_if_unread(&mut self, runner: &RunnerView) {
-        if runner.unread {
+        if runner.report_unread {
             self.reports_needed.push(runner.id.clone());
         }
     }
 
     /// Resets all state that depends on the orders given: another node may have given
     /// orders until `now`. Called when this node gains or loses the leader's lease.
-    pub fn restart(&mut self, now: Instant) {
+    pub fn reset(&mut self, now: Instant) {
         self.services.clear();
         self.counted_sequences.clear();
         self.started = now;
@@ -123,7 +123,7 @@
         &mut self,
         configuration: &Configuration,
         runners: &mut [RunnerView],
-        cluster_demand: &mut DemandBook,
+        cluster_demand: &mut ClusterDemand,
         now: Instant,
     ) -> Vec<PlannedOrder> {
         let totals = cluster_demand.totals(now);
@@ -194,7 +194,7 @@
     }
 
     fn service_state(&mut self, service: &Arc<str>) -> ServiceState {
-        let (started, limits) = (self.started, self.settings.pace);
+        let (started, limits) = (self.started, self.settings.load_rate_limits);
         self.services
             .remove(service)
             .unwrap_or_else(|| ServiceState {
@@ -252,7 +252,7 @@
                 self.request_report_if_unread(runner);
                 continue;
             }
-            runner.ordered = Some(action.clone());
+            runner.order_in_progress = Some(action.clone());
             orders.push(PlannedOrder {
                 runner: runner.id.clone(),
                 action,
@@ -312,7 +312,7 @@
             making_room += usize::from(evicted.is_some() && current.source == WeightSource::Remote);
             placements.apply_order(runners, current.runner, &model, evicted);
             let runner = &mut runners[current.runner];
-            runner.ordered = Some(action.clone());
+            runner.order_in_progress = Some(action.clone());
             runner.busy_until = None;
             orders.push(PlannedOrder {
                 runner: runner.id.clone(),
@@ -395,7 +395,9 @@
 fn update_store_loads(store_loads: &mut StoreConcurrency, runners: &[RunnerView], now: Instant) {
     let is_held = |id: &str, model: &str| {
         let runner = runners.iter().find(|runner| &*runner.id == id)?;
-        runner.open.then(|| runner.loaded_model(model).is_some())
+        runner
+            .available
+            .then(|| runner.loaded_model(model).is_some())
     };
     store_loads.update(is_held, now);
 }
--- a/crates/loading/src/replica_counts.rs
+++ b/crates/loading/src/replica_counts.rs
@@ -34,15 +34,15 @@
     pub fn new(service: &str, runners: &[RunnerView]) -> Self {
         let mut counts = Self::default();
         for runner in runners {
-            if &*runner.service != service || !runner.open {
+            if &*runner.service != service || !runner.available {
                 continue;
             }
             for loaded_model in &runner.models {
-                if !runner.unloads(&loaded_model.model) {
+                if !runner.is_unloading(&loaded_model.model) {
                     counts.add(runner, &loaded_model.model, true);
                 }
             }
-            match &runner.ordered {
+            match &runner.order_in_progress {
                 Some(OrderAction::LoadModel { model }) if runner.loaded_model(model).is_none() => {
                     counts.add(runner, model, false);
                 }
--- a/crates/loading/src/view.rs
+++ b/crates/loading/src/view.rs
@@ -39,25 +39,25 @@
     pub zone: Arc<str>,
     /// Whether the runner accepts new work: neither its discovery entry nor its own signals
     /// say that it is draining.
-    pub open: bool,
+    pub available: bool,
     /// Whether the operators have evacuated the runner's zone, so that no new work is
     /// sent there.
     pub evacuated: bool,
     /// Calls per second that the runner accepts from all nodes together; `None` if it has
     /// not recently announced a limit.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Whether the runner may not be called now, because its rate limit is reached or it
     /// requested a pause.
-    pub held_back: bool,
+    pub calls_blocked: bool,
     /// Models of this runner whose demand exceeds its rate limit and that no unlimited
     /// runner holds. Set in each planning step.
     pub over_limit: Vec<Arc<str>>,
     /// Whether the leader reads this runner's report only on demand and has not read it yet.
     /// The planner requests it before the first order.
-    pub unread: bool,
+    pub report_unread: bool,
     /// Whether this node has a report of the runner that it read as the leader and that
     /// is not invalidated by a failed call.
-    pub reported: bool,
+    pub report_known: bool,
     /// Whether the runner answered the latest call of this node.
     pub reachable: bool,
     /// Number of orders that the runner has accepted; an order names the number it
@@ -72,7 +72,7 @@
     /// Models with a copy of their weights in the runner's host memory or on its disk.
     pub copies: WeightCopies,
     /// The leader's order that the runner is carrying out or that is being sent; `None` without one.
-    pub ordered: Option<OrderAction>,
+    pub order_in_progress: Option<OrderAction>,
     /// When the order in progress is expected to end; `None` if unknown.
     pub busy_until: Option<Instant>,
 }
@@ -84,20 +84,20 @@
             id: runner.id.clone(),
             service: runner.service.clone(),
             zone: runner.zone.clone(),
-            open: runner.state == RunnerState::Available,
+            available: runner.state == RunnerState::Available,
             evacuated: false,
-            limit: None,
-            held_back: false,
+            rate_limit: None,
+            calls_blocked: false,
             over_limit: Vec::new(),
-            unread: false,
-            reported: false,
+            report_unread: false,
+            report_known: false,
             reachable: true,
             sequence: 0,
             busy: false,
             models: runner.models.clone(),
             pending_adapters: Vec::new(),
             copies: runner.copies.clone(),
-            ordered: None,
+            order_in_progress: None,
             busy_until: None,
         }
     }
@@ -105,19 +105,19 @@
     /// Returns whether requests may be sent to the runner: it is not draining and not in
     /// an evacuated zone. Reachability is not considered.
     pub fn accepts_requests(&self) -> bool {
-        self.open && !self.evacuated
+        self.available && !self.evacuated
     }
 
     /// Returns whether the planner may order the runner now.
     pub fn accepts_orders(&self) -> bool {
-        let is_free = !self.busy && self.ordered.is_none() && !self.held_back;
-        self.accepts_requests() && self.reported && is_free
+        let is_free = !self.busy && self.order_in_progress.is_none() && !self.calls_blocked;
+        self.accepts_requests() && self.report_known && is_free
     }
 
     /// Returns whether the planner may order the runner now, or as soon as its report has
     /// been read.
     pub fn accepts_orders_once_read(&self) -> bool {
-        self.accepts_orders() || (self.unread && self.accepts_requests())
+        self.accepts_orders() || (self.report_unread && self.accepts_requests())
     }
 
     /// Returns the loaded model of this name.
@@ -132,16 +132,16 @@
 
     /// Returns whether the order in progress loads the model.
     pub fn is_loading(&self, model: &str) -> bool {
-        matches!(&self.ordered, Some(OrderAction::LoadModel { model: loading }) if &**loading == model)
+        matches!(&self.order_in_progress, Some(OrderAction::LoadModel { model: loading }) if &**loading == model)
     }
 
     /// Returns whether the order in progress unloads the model.
-    pub fn unloads(&self, model: &str) -> bool {
-        matches!(&self.ordered, Some(OrderAction::UnloadModel { model: unloading }) if &**unloading == model)
+    pub fn is_unloading(&self, model: &str) -> bool {
+        matches!(&self.order_in_progress, Some(OrderAction::UnloadModel { model: unloading }) if &**unloading == model)
     }
 
     /// Returns the fastest source from which the runner can load the model.
-    pub fn source(&self, model: &str) -> WeightSource {
+    pub fn weight_source(&self, model: &str) -> WeightSource {
         let has = |copies: &[Arc<str>]| copies.iter().any(|copy| &**copy == model);
         if has(&self.copies.memory) {
             WeightSource::Memory
--- a/crates/manifest/src/objects.rs
+++ b/crates/manifest/src/objects.rs
@@ -147,7 +147,7 @@
         ObjectSpec::Model(model) => check_weights(&model.version, model.memory_bytes),
         ObjectSpec::Adapter(adapter) => check_weights(&adapter.version, adapter.memory_bytes),
         ObjectSpec::Policy(policy) => Program::compile(&policy.program)
-            .and_then(|program| program.rehearse())
+            .and_then(|program| program.dry_run())
             .map_err(|error| {
                 let place = match error.line() {
                     0 => String::new(),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -239,7 +239,7 @@
             continue;
         };
         Program::compile(&policy.program)
-            .and_then(|program| program.rehearse())
+            .and_then(|program| program.dry_run())
             .map_err(|error| {
                 let message = format!("{}: program: {error}", object.key());
                 refuse(StatusCode::BAD_REQUEST, message)
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -98,7 +98,7 @@
 impl Decision {
     /// Returns the number of replicas to have while the model is in use: the target, or
     /// else the maximum.
-    pub fn wanted(&self) -> u32 {
+    pub fn target_replicas(&self) -> u32 {
         self.target.unwrap_or(self.replicas)
     }
 
--- a/crates/policy/src/program.rs
+++ b/crates/policy/src/program.rs
@@ -28,7 +28,7 @@
 
 impl Program {
     /// Compiles `source`. Returns an error for syntax errors and for a missing `decide`
-    /// function; type errors are found by [`Self::rehearse`].
+    /// function; type errors are found by [`Self::dry_run`].
     pub fn compile(source: &str) -> Result<Self, PolicyError> {
         let engine = sandboxed_engine();
         let ast = engine
@@ -65,7 +65,7 @@
 
     /// Runs the program for a sample model at every hour of the day, with 0, 1 and 8
     /// runners, so that type errors are found before the program is accepted.
-    pub fn rehearse(&self) -> Result<(), PolicyError> {
+    pub fn dry_run(&self) -> Result<(), PolicyError> {
         for runners in [0, 1, 8] {
             for hour in 0..HOURS {
                 self.decide(&sample_context(runners, hour))?;
